--- a/src/jobs/internal/endrecords.cpp
+++ b/src/jobs/internal/endrecords.cpp
@@ -23,38 +23,38 @@
   JobChanges Passing;
   for (const EndedTask &End : Findings.Ended) {
     const TaskRecord *Record = taskOf(End.Task);
-    if (End.How != EndKind::Done && Record)
+    if (End.Kind != EndKind::Done && Record)
       logEvent(LogLevel::Warning, Module, "task_not_done",
                {{"job", End.Task.Job},
                 {"step", End.Task.Step},
                 {"index", End.Task.Index},
                 {"run", End.Run.value()},
                 {"worker", On.Info.Worker},
-                {"counts", End.How == EndKind::Failed},
+                {"counts", End.Kind == EndKind::Failed},
                 {"failures", Record->Failures}});
-    if (End.How == EndKind::Other || !Record || Record->Done)
+    if (End.Kind == EndKind::Other || !Record || Record->Done)
       continue;
-    bool Succeeded = End.How == EndKind::Done;
+    bool Succeeded = End.Kind == EndKind::Done;
     noteEnd(On, Succeeded, Record->Failures == 0, Needs_.Clock.now());
-    auto Took = Findings.Took.find(End.Task);
-    if (Succeeded && Took != Findings.Took.end())
+    auto Took = Findings.RunTimings.find(End.Task);
+    if (Succeeded && Took != Findings.RunTimings.end())
       noteRan(On, End.Task, Took->second);
     if (Succeeded)
       FailedAt_.erase(End.Task);
     else
       FailedAt_[End.Task] = On.Info.Worker;
-    if (On.FailedInRow == DistrustedAfter && !Succeeded)
+    if (On.ConsecutiveFailures == DistrustThreshold && !Succeeded)
       logEvent(LogLevel::Warning, Module, "worker_distrusted",
                {{"worker", On.Info.Worker},
-                {"failed_in_row", On.FailedInRow},
+                {"failed_in_row", On.ConsecutiveFailures},
                 {"runs", On.Runs.size()}});
     JobChanges &Into = isTransient(End.Task.Job) ? Passing : Durable;
-    Into.Ended.push_back({End.Task, End.Run, End.How == EndKind::Done});
+    Into.Ended.push_back({End.Task, End.Run, End.Kind == EndKind::Done});
   }
   WorkerId Worker = On.Info.Worker;
-  std::uint64_t Upto = On.TakenEnd;
+  std::uint64_t Upto = On.LastBatchedEnd;
   if (Durable.empty())
-    On.RecordedEnd = Upto;
+    On.LastRecordedEnd = Upto;
   else
     recordDurably(Worker, Upto, std::move(Durable));
   apply(Transient_, Passing);
@@ -83,9 +83,9 @@
                   WorkerSession *With = session(Worker);
                   if (!With)
                     return;
-                  With->RecordedEnd = std::max(With->RecordedEnd, Upto);
-                  if (With->RecordedEnd == With->TakenEnd)
-                    hold(*With);
+                  With->LastRecordedEnd = std::max(With->LastRecordedEnd, Upto);
+                  if (With->LastRecordedEnd == With->LastBatchedEnd)
+                    sendHold(*With);
                 });
 }
 
--- a/src/jobs/internal/intake.cpp
+++ b/src/jobs/internal/intake.cpp
@@ -63,18 +63,18 @@
   scheduling::PoolOutlook Result;
   const Resources &Needs = New.Spec.Steps.front().Needs;
   for (const auto &[Id, With] : Sessions_) {
-    if (!takesWorkOf(With, New.Service))
+    if (!acceptsWorkFor(With, New.Service))
       continue;
     double Factor = paceFactorOf(With, Now);
     bool Slow = Factor >= scheduling::SlowFactor;
-    if (With.RestUntil <= Now && isTrusted(With) && !Slow)
+    if (With.NoStartsUntil <= Now && isTrusted(With) && !Slow)
       Result.Free += placesLeft(With, Needs);
     // What a slow worker runs makes room for nothing in sight.
     if (Slow)
       continue;
     for (const auto &[Task, Each] : With.Runs)
       Result.BusyFor.push_back(
-          scheduling::remaining(Each.Expected, Now - Each.Since));
+          scheduling::remainingRunTime(Each.Expected, Now - Each.Since));
   }
   bool Late = isLate(New.Id);
   for (const auto &[Rank, Task] : Queue_) {
@@ -90,7 +90,7 @@
 double Scheduler::usableCores(const ServiceId &Service) const {
   double Cores = 0;
   for (const auto &[Id, With] : Sessions_)
-    if (takesWorkOf(With, Service))
+    if (acceptsWorkFor(With, Service))
       Cores += With.Info.Capacity.CpuMillis;
   return Cores * UsableShare;
 }
@@ -100,9 +100,9 @@
   for (const auto &[Id, With] : Sessions_) {
     if (With.Info.Service != Service)
       continue;
-    if (!With.Known && !With.Silent)
+    if (!With.RunsKnown && !With.Silent)
       return false;
-    Any = Any || With.Known;
+    Any = Any || With.RunsKnown;
   }
   return Any;
 }
@@ -124,49 +124,49 @@
   return Found != Waiters_.end() && Found->second.Late;
 }
 
-scheduling::Waits Scheduler::forecastFor(const Job &New, Time Now) const {
+scheduling::WaitForecast Scheduler::forecastFor(const Job &New,
+                                                Time Now) const {
   scheduling::PoolOutlook Pool = outlookFor(New, Now);
   scheduling::JobOutlook Own{firstTasks(New.Spec),
                              expectedRun(New, New.Spec.Steps.front(), Now)};
   double Cores = usableCores(New.Service);
   auto WaitBehind = [&](std::uint32_t Priority) {
     Pool.UrgentShare =
-        Cores == 0
-            ? 0
-            : scheduling::busyWithUrgent(Arrivals_, Priority, Now) / Cores;
+        Cores == 0 ? 0
+                   : scheduling::urgentLoad(Arrivals_, Priority, Now) / Cores;
     return scheduling::waitForLastStart(Pool, Own);
   };
   return {WaitBehind(New.Priority), WaitBehind(New.Priority + 1)};
 }
 
-scheduling::Waits Scheduler::correctedFor(std::uint32_t Priority,
-                                          const scheduling::Waits &Known,
-                                          Time Now) const {
+scheduling::WaitForecast
+Scheduler::correctedFor(std::uint32_t Priority,
+                        const scheduling::WaitForecast &Known, Time Now) const {
   const scheduling::ForecastSkill &Skill =
       Skills_[scheduling::classOf(Priority)];
-  scheduling::Waits Result = Known;
+  scheduling::WaitForecast Result = Known;
   for (std::optional<Duration> *Each : {&Result.InTurn, &Result.AsLate})
     if (*Each)
-      *Each = scheduling::corrected(Skill, **Each, Now);
+      *Each = scheduling::correctedForecast(Skill, **Each, Now);
   return Result;
 }
 
 scheduling::Admission
 Scheduler::admissionOf(const Job &New, const Waiters &Coming,
-                       const scheduling::Waits &Known) const {
+                       const scheduling::WaitForecast &Known) const {
   Time Now = Coming.Since;
-  scheduling::Waits Forecast = correctedFor(New.Priority, Known, Now);
+  scheduling::WaitForecast Forecast = correctedFor(New.Priority, Known, Now);
   scheduling::Admission Decided = scheduling::admit(
       Coming.Useful, Coming.Chain, Forecast, hashOf(New.Id), Now);
-  if (Decided.What != scheduling::Verdict::InTime)
+  if (Decided.Result != scheduling::Verdict::InTime)
     logEvent(LogLevel::Info, Module, "job_not_in_time",
              {{"job", New.Id},
-              {"verdict", scheduling::verdictName(Decided.What)},
+              {"verdict", scheduling::verdictName(Decided.Result)},
               {"priority", New.Priority},
               {"chain_us", Coming.Chain.count()},
               {"age_us", Coming.Age.count()},
               {"laxity_us",
-               (Coming.Useful.InTimeUntil - Now - Coming.Chain).count()},
+               (Coming.Useful.SoftDeadline - Now - Coming.Chain).count()},
               {"wait_us", Forecast.InTurn ? Forecast.InTurn->count() : -1},
               {"wait_late_us", Forecast.AsLate ? Forecast.AsLate->count() : -1},
               {"waiting_tasks", Queue_.size()},
@@ -194,16 +194,17 @@
 }
 
 void Scheduler::noteRan(WorkerSession &On, const TaskId &Task,
-                        const TookTime &Times) {
+                        const RunTiming &Times) {
   const Job *Of = jobOf(Task.Job);
   if (!Of || Task.Step >= Of->Spec.Steps.size())
     return;
   Time Now = Needs_.Clock.now();
   bool Slow = paceFactorOf(On, Now) >= scheduling::SlowFactor;
-  scheduling::learnPace(On.Pace, Times.Expected, Times.Took, Now);
+  scheduling::learnPace(On.Pace, Times.Expected, Times.Elapsed, Now);
   // A slow worker says little about the queue's tasks; but where all are slow,
   // the queue's tasks are long.
-  Duration Took = Slow ? std::min(Times.Took, Times.Expected * 2) : Times.Took;
+  Duration Took =
+      Slow ? std::min(Times.Elapsed, Times.Expected * 2) : Times.Elapsed;
   scheduling::learnRun(RunTimes_[Of->Queue], Of->Spec.Steps[Task.Step].Estimate,
                        Took, Now);
 }
@@ -216,8 +217,8 @@
   if (isStale(Job, Now))
     return true;
   if (Job.Late)
-    return !scheduling::canBeOfUse(Job.Useful, Job.Chain, Now);
-  return !scheduling::canBeInTime(Job.Useful, Job.Chain, Now);
+    return !scheduling::canMeetHardDeadline(Job.Useful, Job.Chain, Now);
+  return !scheduling::canMeetSoftDeadline(Job.Useful, Job.Chain, Now);
 }
 
 void Scheduler::giveUpLate(Time Now) {
@@ -243,13 +244,13 @@
     scheduling::learnForecast(Skills_[scheduling::classOf(Of->Priority)],
                               *std::exchange(Job.Forecast, std::nullopt),
                               Now - Job.Since, Now);
-  scheduling::Waits Forecast =
+  scheduling::WaitForecast Forecast =
       correctedFor(Of->Priority, forecastFor(*Of, Now), Now);
   // Its turn is over.
   Forecast.InTurn.reset();
   scheduling::Admission Decided =
       scheduling::admit(Job.Useful, Job.Chain, Forecast, hashOf(Id), Now);
-  if (Decided.What == scheduling::Verdict::Refused || Job.Late ||
+  if (Decided.Result == scheduling::Verdict::Refused || Job.Late ||
       isStale(Job, Now)) {
     constexpr const char *Reason = "no worker was free in time";
     noteRefusal(Id, refusalOf(Reason, Decided.RetryAfter));
--- a/src/jobs/internal/jobgateway.cpp
+++ b/src/jobs/internal/jobgateway.cpp
@@ -199,7 +199,7 @@
     const std::optional<Time> &Sent = Questions_[*Leader_].Sent;
     if (!Sent)
       return Leader_;
-    if (Clock_.now() - *Sent < scheduling::answerPatience(0))
+    if (Clock_.now() - *Sent < scheduling::replyTimeout(0))
       return std::nullopt;
     // Another one may lead by now.
   }
@@ -216,14 +216,14 @@
     Question &Of = Questions_[*To];
     Of.Sent = Clock_.now();
     Client_.call(*To, wire::method::Sync, Exchange_.Ask(),
-                 scheduling::answerPatience(Of.Unanswered),
+                 scheduling::replyTimeout(Of.Unanswered),
                  [this, To = *To](const Outcome<Json::Value> &Result) {
                    probed(To, Result);
                  });
   }
   bool Urgent = !ready() || Exchange_.IsUrgent();
   Duration Pause =
-      Urgent ? scheduling::urgentPause(AskPause_, unansweredByLeader())
+      Urgent ? scheduling::urgentPollInterval(AskPause_, unansweredByLeader())
              : AskPause_;
   Timers_.after(Pause, [this] { probe(); });
 }
@@ -234,8 +234,8 @@
   Time Sent = Of.Sent.value_or(Clock_.now());
   Of.Sent.reset();
   // A VM that has no turn for new connections is slow too.
-  bool TimedOut = !Result && Clock_.now() - Sent >=
-                                 scheduling::answerPatience(Of.Unanswered);
+  bool TimedOut =
+      !Result && Clock_.now() - Sent >= scheduling::replyTimeout(Of.Unanswered);
   Of.Unanswered = TimedOut ? Of.Unanswered + 1 : 0;
   if (!Result)
     return lost(From, Result.error().Message.c_str());
@@ -255,8 +255,8 @@
   ReadyAt_ = Sent;
   Duration Pause(
       static_cast<Duration::rep>(wire::numberOf(*Result, "ask_after_us")));
-  AskPause_ = std::clamp(Pause, scheduling::ShortestAskPause,
-                         scheduling::LongestAskPause);
+  AskPause_ = std::clamp(Pause, scheduling::MinPollInterval,
+                         scheduling::MaxPollInterval);
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/jobgateway.h
+++ b/src/jobs/internal/jobgateway.h
@@ -83,7 +83,7 @@
   std::optional<Endpoint> Leader_;
   std::size_t NextVm_ = 0;
   /// The pause between questions, as the leader has told.
-  Duration AskPause_ = scheduling::ShortestAskPause;
+  Duration AskPause_ = scheduling::MinPollInterval;
   struct Question {
     /// Of the one under way.
     std::optional<Time> Sent;
--- a/src/jobs/internal/jobstore.cpp
+++ b/src/jobs/internal/jobstore.cpp
@@ -41,7 +41,7 @@
   for (const SuspectTask &Each : New.Suspects)
     if (Each.Step < Added.Tasks.size() &&
         Each.Index < Added.Tasks[Each.Step].size())
-      Added.Tasks[Each.Step][Each.Index].Seen = Each.Seen;
+      Added.Tasks[Each.Step][Each.Index].Suspicion = Each.Suspicion;
   Added.Suspects.clear();
 }
 
@@ -63,7 +63,7 @@
   Task->LastEnded = End.Run;
   if (End.Succeeded) {
     Task->Done = true;
-    Task->Seen = scheduling::Suspicion();
+    Task->Suspicion = scheduling::Suspicion();
     if (std::all_of(Of.Tasks.begin(), Of.Tasks.end(), isDone))
       settle(Of, JobState::Completed);
     return;
@@ -80,8 +80,8 @@
   TaskRecord *Task = recordOf(Found->second, Loss.Task);
   if (!Task || Task->Done)
     return;
-  scheduling::noteLoss(Task->Seen, Loss.How, Loss.Alone);
-  if (Task->Seen.Guilty)
+  scheduling::noteLoss(Task->Suspicion, Loss.Cause, Loss.Alone);
+  if (Task->Suspicion.Quarantined)
     settle(Found->second, JobState::Failed);
 }
 
@@ -106,7 +106,7 @@
     Store.Jobs.erase(Id);
   for (const EvacuationOrder &Each : Changes.Evacuations)
     apply(Store.Evacuated, Each);
-  if (Changes.DividesByRacks && Store.Plan != PoolPlan::ByRack) {
+  if (Changes.SplitByRack && Store.Plan != PoolPlan::ByRack) {
     Store.Plan = PoolPlan::ByRack;
     Store.Groups = Changes.Groups;
   }
--- a/src/jobs/internal/jobwire.cpp
+++ b/src/jobs/internal/jobwire.cpp
@@ -74,7 +74,7 @@
   Result.append(Value.Crashes);
   Result.append(Value.Losses);
   Result.append(Value.Suspected ? 1 : 0);
-  Result.append(Value.Guilty ? 1 : 0);
+  Result.append(Value.Quarantined ? 1 : 0);
   return Result;
 }
 
@@ -96,8 +96,8 @@
   Result.append(Value.Done ? 1 : 0);
   Result.append(Value.Failures);
   Result.append(Json::UInt64(Value.LastEnded.value()));
-  if (Value.Seen.Losses != 0)
-    Result.append(write(Value.Seen));
+  if (Value.Suspicion.Losses != 0)
+    Result.append(write(Value.Suspicion));
   return Result;
 }
 
@@ -111,7 +111,7 @@
                     RunNumber(From[2].asUInt64()),
                     {}};
   if (From.size() > Fields) {
-    BOOST_LEAF_ASSIGN(Result.Seen, readSuspicion(From[Fields]));
+    BOOST_LEAF_ASSIGN(Result.Suspicion, readSuspicion(From[Fields]));
   }
   return Result;
 }
@@ -124,7 +124,7 @@
     Json::Value &Row = Result.append(Json::Value(Json::arrayValue));
     Row.append(Each.Step);
     Row.append(Each.Index);
-    Row.append(write(Each.Seen));
+    Row.append(write(Each.Suspicion));
   }
   return Result;
 }
@@ -160,7 +160,7 @@
   }
   if (!Value.Suspects.empty())
     Result["suspects"] = write(Value.Suspects);
-  putNumber(Result, "term", Value.AcceptedIn.value());
+  putNumber(Result, "term", Value.AcceptedUnder.value());
   putNumber(Result, "state", static_cast<std::uint64_t>(Value.State));
   if (!Value.Spec.Steps.empty())
     Result["spec"] = wire::write(Value.Spec);
@@ -198,7 +198,7 @@
     BOOST_LEAF_ASSIGN(Result.Suspects, readSuspects(From["suspects"]));
   }
   BOOST_LEAF_AUTO(Term, json::readUintOr(From, "term", 0));
-  Result.AcceptedIn = FencingToken(Term);
+  Result.AcceptedUnder = FencingToken(Term);
   BOOST_LEAF_ASSIGN(Result.State, readState(From));
   if (!From.isMember("spec"))
     return Result;
@@ -265,7 +265,7 @@
   Result.append(Value.Task.Job.value());
   Result.append(Value.Task.Step);
   Result.append(Value.Task.Index);
-  Result.append(static_cast<Json::UInt>(Value.How));
+  Result.append(static_cast<Json::UInt>(Value.Cause));
   Result.append(Value.Alone ? 1 : 0);
   return Result;
 }
@@ -368,7 +368,7 @@
     Result["forgotten"].append(Each.value());
   for (const EvacuationOrder &Each : Value.Evacuations)
     Result["evacuations"].append(write(Each));
-  if (Value.DividesByRacks)
+  if (Value.SplitByRack)
     Result["divides_by_racks"] = true;
   if (!Value.Groups.empty())
     Result["rack_groups"] = write(Value.Groups);
@@ -388,7 +388,7 @@
   BOOST_LEAF_ASSIGN(
       Result.Evacuations,
       readList<EvacuationOrder>(From, "evacuations", readEvacuationOrder));
-  BOOST_LEAF_ASSIGN(Result.DividesByRacks,
+  BOOST_LEAF_ASSIGN(Result.SplitByRack,
                     json::readBoolOr(From, "divides_by_racks", false));
   BOOST_LEAF_ASSIGN(Result.Groups, readGroupsOf(From));
   return Result;
--- a/src/jobs/internal/placement.cpp
+++ b/src/jobs/internal/placement.cpp
@@ -44,8 +44,8 @@
 PoolLoad Scheduler::load() const {
   PoolLoad Result;
   for (const auto &[Id, With] : Sessions_) {
-    if (!With.Known || With.Silent || With.Info.Draining || With.Evacuated ||
-        With.Unlisted)
+    if (!With.RunsKnown || With.Silent || With.Info.Draining ||
+        With.Evacuated || With.Unlisted)
       continue;
     Result.Capacity += With.Info.Capacity.CpuMillis;
     Result.Used += With.Used.CpuMillis;
@@ -114,9 +114,10 @@
     return nullptr;
   auto FailedAt = FailedAt_.find(Task.Id);
   for (auto &[Id, Each] : Sessions_) {
-    if (!takesWorkOf(Each, Task.Service) || Each.RestUntil > Now ||
-        !hasRoom(Each, Task.Needs, Now) || !suits(Each, Step, Task.Id) ||
-        !isTrusted(Each) || !mayRunThere(Each, Suspected, Now))
+    if (!acceptsWorkFor(Each, Task.Service) || Each.NoStartsUntil > Now ||
+        !hasFreeCapacity(Each, Task.Needs, Now) ||
+        !suits(Each, Step, Task.Id) || !isTrusted(Each) ||
+        !mayRunThere(Each, Suspected, Now))
       continue;
     // Where a run of it has failed, takes long or may not arrive it goes only
     // if nobody else has room.
@@ -148,8 +149,8 @@
     return true;
   const Waiters &Job = Found->second;
   Duration Run = scheduling::scaled(Task.Estimate, Factor);
-  return Job.Late ? scheduling::canBeOfUse(Job.Useful, Run, Now)
-                  : scheduling::canBeInTime(Job.Useful, Run, Now);
+  return Job.Late ? scheduling::canMeetHardDeadline(Job.Useful, Run, Now)
+                  : scheduling::canMeetSoftDeadline(Job.Useful, Run, Now);
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/pools.cpp
+++ b/src/jobs/internal/pools.cpp
@@ -131,12 +131,12 @@
   scheduling::observe(State.Use, static_cast<double>(Load.Used) / Capacity,
                       Now);
   Result.Used = static_cast<std::uint64_t>(
-      std::lround(scheduling::tell(State.Use, StepOfUse) * Capacity));
+      std::lround(scheduling::valueToReport(State.Use, StepOfUse) * Capacity));
   for (std::size_t Class = 0; Class < Load.Backlog.size(); ++Class) {
     scheduling::observe(State.Backlog[Class],
                         static_cast<double>(Load.Backlog[Class].count()), Now);
     Result.Backlog[Class] =
-        Duration(static_cast<Duration::rep>(scheduling::tell(
+        Duration(static_cast<Duration::rep>(scheduling::valueToReport(
             State.Backlog[Class], static_cast<double>(StepOfBacklog.count()))));
   }
   return Result;
--- a/src/jobs/internal/pools.h
+++ b/src/jobs/internal/pools.h
@@ -84,8 +84,8 @@
 
 /// A pool's load as it is told to all entries.
 struct SteadyPoolLoad {
-  scheduling::SteadyValue Use;
-  std::array<scheduling::SteadyValue, scheduling::PriorityClasses> Backlog;
+  scheduling::SmoothedValue Use;
+  std::array<scheduling::SmoothedValue, scheduling::PriorityClasses> Backlog;
 };
 
 /// Takes the load of now and returns the one to tell, which changes by steps
--- a/src/jobs/internal/scheduler.cpp
+++ b/src/jobs/internal/scheduler.cpp
@@ -90,12 +90,12 @@
 std::size_t Scheduler::workers() const {
   return static_cast<std::size_t>(
       std::count_if(Sessions_.begin(), Sessions_.end(), [](const auto &Entry) {
-        return Entry.second.Known && !Entry.second.Silent;
+        return Entry.second.RunsKnown && !Entry.second.Silent;
       }));
 }
 
 void Scheduler::accept(Job New, Callback Done) {
-  New.AcceptedIn = Token_;
+  New.AcceptedUnder = Token_;
   JobChanges Changes;
   Changes.Accepted.push_back(std::move(New));
   JobId Id = Changes.Accepted.front().Id;
@@ -166,7 +166,7 @@
 bool Scheduler::mayHaveEarlierRun(const Job &Of) const {
   if (Of.Spec.Transient)
     return Unsettled_.count(Of.Id) != 0;
-  return !TakenOver_ && Of.AcceptedIn != Token_;
+  return !TakenOver_ && Of.AcceptedUnder != Token_;
 }
 
 void Scheduler::enqueueReady(const Job &Of) {
@@ -302,7 +302,7 @@
   if (TakenOver_ || Sessions_.empty() || !Needs_.KnowsAllWorkers())
     return;
   for (const auto &[Worker, With] : Sessions_)
-    if (!With.Known || With.Foreign)
+    if (!With.RunsKnown || With.HasForeignRuns)
       return;
   takeOver();
 }
--- a/src/jobs/internal/scheduler.h
+++ b/src/jobs/internal/scheduler.h
@@ -173,12 +173,13 @@
   }
 
   // Which transient jobs are served (intake.cpp).
-  scheduling::Admission admissionOf(const Job &New, const Waiters &Coming,
-                                    const scheduling::Waits &Known) const;
-  scheduling::Waits correctedFor(std::uint32_t Priority,
-                                 const scheduling::Waits &Known,
-                                 Time Now) const;
-  scheduling::Waits forecastFor(const Job &New, Time Now) const;
+  scheduling::Admission
+  admissionOf(const Job &New, const Waiters &Coming,
+              const scheduling::WaitForecast &Known) const;
+  scheduling::WaitForecast correctedFor(std::uint32_t Priority,
+                                        const scheduling::WaitForecast &Known,
+                                        Time Now) const;
+  scheduling::WaitForecast forecastFor(const Job &New, Time Now) const;
   bool isLate(const JobId &Id) const;
   bool knowsWorkersOf(const ServiceId &Service) const;
   /// Whether some worker would take each of the job's tasks if it were free.
@@ -192,7 +193,7 @@
   Duration expectedRun(const Job &Of, const StepSpec &Step, Time Now) const;
   void noteTaken(const Job &New, Time Now);
   void noteFirstStart(const JobId &Id, Time Now);
-  void noteRan(WorkerSession &On, const TaskId &Task, const TookTime &Times);
+  void noteRan(WorkerSession &On, const TaskId &Task, const RunTiming &Times);
   void giveUpLate(Time Now);
   /// Whether its caller may have come back elsewhere.
   static bool isStale(const Waiters &Job, Time Now);
@@ -305,24 +306,27 @@
   void reserveFor(const WaitingTask &Task, Time Now);
 
   // Conversations with workers (workerwatch.cpp).
-  void hold(WorkerSession &With);
-  void holdLater(const WorkerId &Worker);
-  /// Asks what runs there, beside the hold that may be under way, and calls
-  /// \p Then once the answer is taken.
-  void look(WorkerSession &With, std::function<void()> Then = nullptr);
-  void held(const WorkerId &Worker, const Sent &Order,
-            const Outcome<HoldAnswer> &Answer);
-  void takeAnswer(WorkerSession &On, Time Sent, const HoldAnswer &Answer);
-  void takeFindings(WorkerSession &On, const HoldFindings &Found, bool Fresh);
-  /// \p Fresh: this owner did not have the worker until now.
-  void found(WorkerSession &On, const RunningTask &Task, bool Fresh);
-  void adopt(WorkerSession &On, const RunningTask &Task);
-  void recordEnds(WorkerSession &On, const HoldFindings &Findings);
+  void sendHold(WorkerSession &Session);
+  void sendHoldLater(const WorkerId &Worker);
+  /// Sends a hold that renews no lease and is answered at once, beside the one
+  /// that may be in flight. Calls \p OnAnswer once the answer is applied.
+  void queryRuns(WorkerSession &Session,
+                 std::function<void()> OnAnswer = nullptr);
+  void handleHoldAnswer(const WorkerId &Worker, const Sent &Order,
+                        const Outcome<HoldAnswer> &Answer);
+  void applyAnswer(WorkerSession &Session, Time Sent, const HoldAnswer &Answer);
+  void applyFindings(WorkerSession &Session, const HoldFindings &Findings,
+                     bool NewlyReachable);
+  /// \p NewlyReachable: the worker did not answer this owner until now.
+  void handleFoundRun(WorkerSession &Session, const RunningTask &Task,
+                      bool NewlyReachable);
+  void adoptRun(WorkerSession &Session, const RunningTask &Task);
+  void recordEnds(WorkerSession &Session, const HoldFindings &Findings);
   void recordDurably(const WorkerId &Worker, std::uint64_t Upto,
                      JobChanges Changes);
   void stopRunsOf(const JobId &Id);
   void dropWorker(const WorkerId &Worker, const char *Reason,
-                  scheduling::WorkerLoss How);
+                  scheduling::WorkerLoss Loss);
   void checkLeases(Time Now);
   WorkerSession *session(const WorkerId &Worker);
 
@@ -380,7 +384,7 @@
     Time Since;
     /// How old it was then.
     Duration Age{0};
-    scheduling::Usefulness Useful;
+    scheduling::AnswerDeadlines Useful;
     /// How long its longest chain of tasks runs, as of its arrival.
     Duration Chain{0};
     /// Served as one that cannot be in time.
--- a/src/jobs/internal/servicesync.cpp
+++ b/src/jobs/internal/servicesync.cpp
@@ -53,7 +53,7 @@
   RackGroups Result;
   for (const auto &[DataCentre, Sizes] : Racks)
     Result[DataCentre] =
-        scheduling::groupRacks(Sizes, scheduling::WorkersOfAPool);
+        scheduling::groupRacks(Sizes, scheduling::TargetWorkersPerPool);
   return Result;
 }
 
@@ -104,7 +104,7 @@
   if (!wire::isSet(Params, "by_rack") && !Needs_.Store.Groups.empty())
     Into["rack_groups"] = wire::write(Needs_.Store.Groups);
   Into["ask_after_us"] =
-      Json::Int64(scheduling::askPause(Entries_.size()).count());
+      Json::Int64(scheduling::pollInterval(Entries_.size()).count());
   tellOwners(Params, Into);
   tellWorkers(Params, false, Into);
 }
@@ -246,7 +246,7 @@
     return;
   Dividing_ = true;
   JobChanges Changes;
-  Changes.DividesByRacks = true;
+  Changes.SplitByRack = true;
   Changes.Groups = groupAllRacks(Directory_);
   Needs_.Log.append(wire::writeChanges(Changes), [this](
                                                      const Outcome<Done> &Was) {
--- a/src/jobs/internal/startorders.cpp
+++ b/src/jobs/internal/startorders.cpp
@@ -31,7 +31,7 @@
 } // namespace
 
 RunNumber Scheduler::nextRun(const Job &Of, const TaskId &Task) {
-  bool Own = Of.Spec.Transient || Of.AcceptedIn == Token_;
+  bool Own = Of.Spec.Transient || Of.AcceptedUnder == Token_;
   std::uint64_t First = Own ? 1 : termOf(Token_).value() * RunsPerTerm + 1;
   std::uint64_t Recorded = taskOf(Task)->LastEnded.value();
   RunNumber &Last = LastRuns_[Task];
@@ -75,8 +75,8 @@
                         if (*Alive)
                           checkStart(Worker, Task, Number);
                       });
-  Duration Usual =
-      scheduling::orderValidity(Timing_, Lease_.OrderValid, Lease_.Longest);
+  Duration Usual = scheduling::orderValidity(Timing_, Lease_.MinOrderValidity,
+                                             Lease_.Longest);
   if (Usual < Valid)
     Needs_.Timers.after(Usual, [this, Alive = Alive_, Worker = On.Info.Worker,
                                 Task = Task.Id, Number = Order.Run] {
@@ -116,7 +116,7 @@
   if (!isUnanswered(Worker, Task, Number))
     return;
   noteUnanswered(Worker, Task, Number);
-  look(*session(Worker));
+  queryRuns(*session(Worker));
 }
 
 void Scheduler::settleStart(const WorkerId &Worker, const TaskId &Task,
@@ -124,7 +124,7 @@
   if (!isUnanswered(Worker, Task, Number))
     return;
   noteUnanswered(Worker, Task, Number);
-  look(*session(Worker), [this, Worker, Task, Number] {
+  queryRuns(*session(Worker), [this, Worker, Task, Number] {
     if (isUnanswered(Worker, Task, Number))
       revokeStart(Worker, Task, Number);
   });
@@ -136,11 +136,11 @@
                   Number](std::optional<WorkerMillis> At) {
     if (!*Alive || !At || !isUnanswered(Worker, Task, Number))
       return;
-    session(Worker)->Runs.at(Task).ShownAfter = *At;
+    session(Worker)->Runs.at(Task).ListedAfter = *At;
     Needs_.Timers.after(SettleMargin, [this, Alive, Worker] {
       WorkerSession *On = *Alive ? session(Worker) : nullptr;
       if (On)
-        look(*On);
+        queryRuns(*On);
     });
   };
   WorkerSession &On = *session(Worker);
@@ -153,7 +153,7 @@
   Time Now = Needs_.Clock.now();
   if (Answer.Result != StartResult::Unknown)
     return scheduling::noteAnswered(Timing_, Now - Sent);
-  if (On.LookedAt > Sent)
+  if (On.LastAnsweredSentAt > Sent)
     scheduling::noteAnswerLost(Timing_, Now);
 }
 
@@ -168,12 +168,12 @@
   if (!On)
     return;
   noteTiming(*On, Sent, Answer);
-  if (Answer.Result == StartResult::Gone)
+  if (Answer.Result == StartResult::Replaced)
     return dropWorker(Worker, "another incarnation answered",
                       scheduling::WorkerLoss::Crashed);
   // A worker that finds an order late shows how far its clock has come.
   if (Answer.Clock)
-    noteMoment(*On, *Answer.Clock, Needs_.Clock.now());
+    noteClockReading(*On, *Answer.Clock, Needs_.Clock.now());
   if (Answer.Result == StartResult::Fenced)
     return Needs_.Fenced(Order.Token);
   auto Found = On->Runs.find(Task);
@@ -182,7 +182,7 @@
   if (Answer.Result == StartResult::Started) {
     Found->second.Confirmed = true;
     if (Answer.Clock)
-      Found->second.ShownAfter = *Answer.Clock;
+      Found->second.ListedAfter = *Answer.Clock;
     return;
   }
   logEvent(LogLevel::Warning, Module, "start_failed",
@@ -200,11 +200,11 @@
   Time Now = Needs_.Clock.now();
   if (Answer.Result != StartResult::Late &&
       Answer.Result != StartResult::OutOfOrder)
-    On->RestUntil = Now + RestAfterRefusal;
+    On->NoStartsUntil = Now + RestAfterRefusal;
   Resources Needs = Found->second.Needs;
   removeRun(*On, Task);
-  if (Answer.Result == StartResult::NoRoom)
-    noteNoRoom(*On, Needs, Now);
+  if (Answer.Result == StartResult::NoCapacity)
+    noteCapacityRefusal(*On, Needs, Now);
   Places_.erase(Task);
   enqueue(Task);
   scheduleSoon();
--- a/src/jobs/internal/suspects.cpp
+++ b/src/jobs/internal/suspects.cpp
@@ -29,7 +29,8 @@
 void merge(std::vector<SuspectTask> &Into,
            const std::vector<SuspectTask> &Other) {
   for (const SuspectTask &Each : Other)
-    scheduling::merge(rowOf(Into, Each.Step, Each.Index).Seen, Each.Seen);
+    scheduling::merge(rowOf(Into, Each.Step, Each.Index).Suspicion,
+                      Each.Suspicion);
 }
 
 void merge(SuspectsByJob &Into, const SuspectsByJob &Other) {
@@ -42,7 +43,7 @@
 
 void forgetOld(SuspectsByJob &Of, Time Now) {
   std::erase_if(Of, [&](const auto &Entry) {
-    return Now - Entry.second.Since >= KeepSuspects;
+    return Now - Entry.second.Since >= SuspectRetention;
   });
 }
 
@@ -77,7 +78,7 @@
       continue;
     auto Tasks = attempt([&] { return readSuspects(Row["tasks"]); });
     Duration Age(static_cast<Duration::rep>(numberOf(Row, "age_us")));
-    if (Tasks && Age < KeepSuspects)
+    if (Tasks && Age < SuspectRetention)
       Result[JobId(Name)] = {Now - Age, std::move(*Tasks)};
   }
   return Result;
--- a/src/jobs/internal/suspects.h
+++ b/src/jobs/internal/suspects.h
@@ -24,7 +24,7 @@
 /// The same for many jobs; each is kept as long as its latest finding.
 void merge(SuspectsByJob &Into, const SuspectsByJob &Other);
 
-/// Forgets what is older than KeepSuspects.
+/// Forgets what is older than SuspectRetention.
 void forgetOld(SuspectsByJob &Of, Time Now);
 
 namespace wire {
--- a/src/jobs/internal/transientjobs.cpp
+++ b/src/jobs/internal/transientjobs.cpp
@@ -50,13 +50,13 @@
   Coming.Since = Now;
   Coming.Age = How.Age;
   Coming.Chain = chainOf(New, Now);
-  Coming.Useful = scheduling::usefulnessOf(New.Promised, Coming.Chain,
-                                           Now - How.Age, Now + How.Patience);
+  Coming.Useful = scheduling::answerDeadlines(
+      New.Promised, Coming.Chain, Now - How.Age, Now + How.Patience);
   Coming.NotStarted = firstTasks(New.Spec);
   New.Suspects = knownSuspects(New);
-  bool Guilty =
-      std::any_of(New.Suspects.begin(), New.Suspects.end(),
-                  [](const SuspectTask &Each) { return Each.Seen.Guilty; });
+  bool Guilty = std::any_of(
+      New.Suspects.begin(), New.Suspects.end(),
+      [](const SuspectTask &Each) { return Each.Suspicion.Quarantined; });
   if (Guilty)
     return Ended(endedAs(JobState::Failed, CrashReason));
   bool RunsNowhere = !How.MaybeTaken && !hasOrphans(Id);
@@ -68,19 +68,19 @@
       return Ended(
           noteRefusal(Id, refusalOf("no worker is large enough for its tasks",
                                     RetryAfterSize)));
-    scheduling::Waits Known = forecastFor(New, Now);
+    scheduling::WaitForecast Known = forecastFor(New, Now);
     scheduling::Admission Decided = admissionOf(New, Coming, Known);
-    if (Decided.What == scheduling::Verdict::Refused)
+    if (Decided.Result == scheduling::Verdict::Refused)
       return Ended(
           noteRefusal(Id, refusalOf("the backlog is too long to end in time",
                                     Decided.RetryAfter)));
-    Coming.Late = Decided.What == scheduling::Verdict::Late;
+    Coming.Late = Decided.Result == scheduling::Verdict::Late;
     if (!Coming.Late)
       Coming.Forecast = Known.InTurn;
   }
   Coming.Waiting.push_back({How.From, std::move(Ended)});
   Waiters_[Id] = std::move(Coming);
-  New.AcceptedIn = Token_;
+  New.AcceptedUnder = Token_;
   noteTaken(New, Now);
   JobChanges Changes;
   Changes.Accepted.push_back(std::move(New));
@@ -118,7 +118,7 @@
     if (Left.Done)
       Changes.Ended.push_back({Task, Left.Run, true});
     else if (On && taskOf(Task))
-      adopt(*On, {Task, Left.Run});
+      adoptRun(*On, {Task, Left.Run});
   }
   if (Changes.empty())
     return;
@@ -177,7 +177,7 @@
     return;
   LookedAround_ = Now;
   for (auto &[Worker, With] : Sessions_)
-    look(With);
+    queryRuns(With);
 }
 
 void Scheduler::releaseUnsettled(Time Now) {
@@ -186,7 +186,7 @@
   // A worker that is not known here may still run tasks of these jobs.
   Time LeastLooked = Needs_.KnowsAllWorkers() ? Now : Time();
   for (const auto &[Worker, With] : Sessions_)
-    LeastLooked = std::min(LeastLooked, With.LookedAt);
+    LeastLooked = std::min(LeastLooked, With.LastAnsweredSentAt);
   std::vector<JobId> Settled;
   for (const auto &[Id, Since] : Unsettled_)
     if (Since < LeastLooked || Now - Since >= OwnerSilence + leaseBound(Lease_))
@@ -208,7 +208,7 @@
     WorkerSession *On = session(Left.Worker);
     if (Left.Done || Left.Stopping || !On)
       continue;
-    On->Foreign = true;
+    On->HasForeignRuns = true;
     Left.Stopping = true;
     Needs_.Workers.stop({Left.Worker, On->Info.At}, {Task, Left.Run, Token_});
   }
--- a/src/jobs/internal/workerlosses.cpp
+++ b/src/jobs/internal/workerlosses.cpp
@@ -97,9 +97,9 @@
              {{"job", Id},
               {"step", Each.Task.Step},
               {"index", Each.Task.Index},
-              {"loss", scheduling::workerLossName(Each.How)},
+              {"loss", scheduling::workerLossName(Each.Cause)},
               {"alone", Each.Alone},
-              {"suspected", !Record || Record->Seen.Suspected},
+              {"suspected", !Record || Record->Suspicion.Suspected},
               {"given_up", Of->State == JobState::Failed}});
     if (Of->State == JobState::Active) {
       enqueue(Each.Task);
@@ -143,13 +143,14 @@
     return;
   RememberedSuspects &Kept = Suspects_[Task.Job];
   Kept.Since = Needs_.Clock.now();
-  scheduling::Suspicion &Row = rowOf(Kept.Tasks, Task.Step, Task.Index).Seen;
+  scheduling::Suspicion &Row =
+      rowOf(Kept.Tasks, Task.Step, Task.Index).Suspicion;
   if (const TaskRecord *Record = taskOf(Task))
-    scheduling::merge(Row, Record->Seen);
+    scheduling::merge(Row, Record->Suspicion);
   else if (Of->State == JobState::Failed)
-    Row.Guilty = true;
+    Row.Quarantined = true;
   else
-    scheduling::noteLoss(Row, Loss.How, Loss.Alone);
+    scheduling::noteLoss(Row, Loss.Cause, Loss.Alone);
 }
 
 std::vector<SuspectTask> Scheduler::knownSuspects(const Job &New) const {
@@ -162,14 +163,14 @@
 
 bool Scheduler::isSuspected(const TaskId &Id) const {
   const TaskRecord *Record = taskOf(Id);
-  return Record && Record->Seen.Suspected;
+  return Record && Record->Suspicion.Suspected;
 }
 
 bool Scheduler::mayHostMoreSuspects() const {
   std::size_t Hosts = 0;
   for (const auto &[Worker, With] : Sessions_)
     Hosts += hostsSuspect(With) ? 1 : 0;
-  return Hosts < scheduling::mostWorkersOfSuspects(Sessions_.size());
+  return Hosts < scheduling::maxWorkersForSuspects(Sessions_.size());
 }
 
 void Scheduler::reserveFor(const WaitingTask &Task, Time Now) {
@@ -179,7 +180,7 @@
   for (auto &[Worker, With] : Sessions_) {
     if (With.ReservedUntil > Now)
       return;
-    if (!takesWorkOf(With, Task.Service) || hostsSuspect(With) ||
+    if (!acceptsWorkFor(With, Task.Service) || hostsSuspect(With) ||
         !isLargeEnough(With, Task.Needs))
       continue;
     if (!Least || With.Used.CpuMillis < Least->Used.CpuMillis)
--- a/src/jobs/internal/workersession.cpp
+++ b/src/jobs/internal/workersession.cpp
@@ -32,25 +32,26 @@
                      });
 }
 
-void takeEnds(WorkerSession &Session, const HoldAnswer &Answer,
-              HoldFindings &Out, Time Now) {
+void applyEnds(WorkerSession &Session, const HoldAnswer &Answer,
+               HoldFindings &Out, Time Now) {
   for (const EndedTask &End : Answer.Ended) {
-    if (End.Number <= Session.TakenEnd)
+    if (End.Number <= Session.LastBatchedEnd)
       continue;
     Out.Ended.push_back(End);
     auto Found = Session.Runs.find(End.Task);
     if (Found == Session.Runs.end() || Found->second.Number > End.Run)
       continue;
     if (Found->second.Number == End.Run && !Found->second.Adopted)
-      Out.Took[End.Task] = {Now - Found->second.Since, Found->second.Expected};
+      Out.RunTimings[End.Task] = {Now - Found->second.Since,
+                                  Found->second.Expected};
     removeRun(Session, End.Task);
   }
   for (const EndedTask &End : Out.Ended)
-    Session.TakenEnd = std::max(Session.TakenEnd, End.Number);
+    Session.LastBatchedEnd = std::max(Session.LastBatchedEnd, End.Number);
 }
 
-void takeRunning(WorkerSession &Session, const HoldAnswer &Answer,
-                 HoldFindings &Out) {
+void applyRunning(WorkerSession &Session, const HoldAnswer &Answer,
+                  HoldFindings &Out) {
   for (const RunningTask &Each : Answer.Running) {
     auto Found = Session.Runs.find(Each.Task);
     if (Found == Session.Runs.end() || Found->second.Number != Each.Run) {
@@ -63,9 +64,9 @@
 
 void dropMissing(WorkerSession &Session, const HoldAnswer &Answer,
                  HoldFindings &Out) {
-  for (const auto &[Task, Known] : Session.Runs)
-    if (Answer.Clock > Known.ShownAfter &&
-        !lists(Answer.Running, Task, Known.Number))
+  for (const auto &[Task, Existing] : Session.Runs)
+    if (Answer.Clock > Existing.ListedAfter &&
+        !lists(Answer.Running, Task, Existing.Number))
       Out.Missing.push_back(Task);
   for (const TaskId &Task : Out.Missing)
     removeRun(Session, Task);
@@ -83,9 +84,9 @@
     return "out_of_order";
   case StartResult::Late:
     return "late";
-  case StartResult::NoRoom:
+  case StartResult::NoCapacity:
     return "no_room";
-  case StartResult::Gone:
+  case StartResult::Replaced:
     return "gone";
   case StartResult::Unhealthy:
     return "unhealthy";
@@ -111,10 +112,10 @@
 WorkerMillis leaseUntil(const WorkerSession &Session,
                         const LeaseSettings &Settings, Duration Length,
                         Time Now) {
-  Duration Passed = (Now - Session.MomentSeen) *
+  Duration Passed = (Now - Session.ClockReadAt) *
                     (Percent - Settings.SlowClockPercent) / Percent;
   auto Millis = std::chrono::floor<std::chrono::milliseconds>(Passed + Length);
-  return WorkerMillis(Session.Moment.value() + Millis.count());
+  return WorkerMillis(Session.ClockReading.value() + Millis.count());
 }
 
 void noteLease(WorkerSession &Session, const LeaseSettings &Settings,
@@ -130,21 +131,22 @@
       Session.RenewedAt && Now - *Session.RenewedAt < Settings.FreshLease;
   if (!Renewed || Session.Runs.empty())
     return Settings.Longest;
-  return scheduling::orderValidity(Timing, Settings.OrderValid,
+  return scheduling::orderValidity(Timing, Settings.MinOrderValidity,
                                    Settings.Longest);
 }
 
 bool isHoldOverdue(const WorkerSession &Session, const LeaseSettings &Settings,
                    Time Now) {
-  return Session.HoldUnderWay && !Session.HoldRepeated &&
-         Now - Session.HoldSent >= Session.HoldFor + Settings.RepeatAfter;
+  return Session.HoldInFlight && !Session.HoldResent &&
+         Now - Session.HoldSent >=
+             Session.RequestedHoldWait + Settings.RepeatAfter;
 }
 
 bool isHoldTooLong(const WorkerSession &Session, const LeaseSettings &Settings,
                    Time Now) {
   Time Began = std::max(Session.HoldSent, Session.BusySince);
-  return Session.HoldUnderWay && !Session.Runs.empty() &&
-         Session.HoldFor > Settings.HoldWait &&
+  return Session.HoldInFlight && !Session.Runs.empty() &&
+         Session.RequestedHoldWait > Settings.HoldWait &&
          Now - Began >= Settings.HoldWait;
 }
 
@@ -166,23 +168,24 @@
                      });
 }
 
-void noteMoment(WorkerSession &Session, WorkerMillis Moment, Time Now) {
-  if (Moment < Session.Moment)
+void noteClockReading(WorkerSession &Session, WorkerMillis ClockReading,
+                      Time Now) {
+  if (ClockReading < Session.ClockReading)
     return;
-  Session.Moment = Moment;
-  Session.MomentSeen = Now;
+  Session.ClockReading = ClockReading;
+  Session.ClockReadAt = Now;
 }
 
 bool noteClock(WorkerSession &Session, WorkerMillis Clock, Time Now) {
-  noteMoment(Session, Clock, Now);
+  noteClockReading(Session, Clock, Now);
   if (Clock < Session.Clock)
     return false;
   Session.Clock = Clock;
   return true;
 }
 
-bool takesWorkOf(const WorkerSession &Session, const ServiceId &Service) {
-  return Session.Known && !Session.Silent && !Session.Foreign &&
+bool acceptsWorkFor(const WorkerSession &Session, const ServiceId &Service) {
+  return Session.RunsKnown && !Session.Silent && !Session.HasForeignRuns &&
          !Session.HasUnknownRuns && !Session.Info.Draining &&
          !Session.Evacuated && !Session.Unlisted &&
          Session.Info.Service == Service;
@@ -190,19 +193,20 @@
 
 namespace {
 
-Resources sumOf(const Resources &One, const Resources &Other) {
-  return {One.CpuMillis + Other.CpuMillis, One.MemoryMb + Other.MemoryMb,
-          One.Gpus + Other.Gpus};
+Resources sumOf(const Resources &First, const Resources &Second) {
+  return {First.CpuMillis + Second.CpuMillis, First.MemoryMb + Second.MemoryMb,
+          First.Gpus + Second.Gpus};
 }
 
-bool fits(const Resources &Into, const Resources &What) {
-  return What.CpuMillis <= Into.CpuMillis && What.MemoryMb <= Into.MemoryMb &&
-         What.Gpus <= Into.Gpus;
+bool fits(const Resources &Available, const Resources &Demand) {
+  return Demand.CpuMillis <= Available.CpuMillis &&
+         Demand.MemoryMb <= Available.MemoryMb && Demand.Gpus <= Available.Gpus;
 }
 
 } // namespace
 
-bool hasRoom(const WorkerSession &Session, const Resources &Needs, Time Now) {
+bool hasFreeCapacity(const WorkerSession &Session, const Resources &Needs,
+                     Time Now) {
   Resources Wanted = sumOf(Session.Used, Needs);
   bool Refused = Session.Refused && Now < Session.RefusedUntil &&
                  fits(Wanted, *Session.Refused);
@@ -218,7 +222,8 @@
   return fits(Session.Info.Capacity, Needs);
 }
 
-void noteNoRoom(WorkerSession &Session, const Resources &Needs, Time Now) {
+void noteCapacityRefusal(WorkerSession &Session, const Resources &Needs,
+                         Time Now) {
   Session.Refused = sumOf(Session.Used, Needs);
   Session.RefusedUntil = Now + AnnouncedAgainWithin;
 }
@@ -257,18 +262,18 @@
 
 void noteEnd(WorkerSession &Session, bool Succeeded, bool FirstTry, Time Now) {
   if (Succeeded) {
-    Session.FailedInRow = 0;
+    Session.ConsecutiveFailures = 0;
     return;
   }
   if (!FirstTry)
     return;
-  ++Session.FailedInRow;
-  if (Session.FailedInRow < DistrustedAfter)
+  ++Session.ConsecutiveFailures;
+  if (Session.ConsecutiveFailures < DistrustThreshold)
     return;
   std::uint32_t Doublings =
-      std::min(Session.FailedInRow - DistrustedAfter, MaxDoublings);
-  Session.RestUntil =
-      std::max(Session.RestUntil, Now + FirstDistrustPause * (1U << Doublings));
+      std::min(Session.ConsecutiveFailures - DistrustThreshold, MaxDoublings);
+  Session.NoStartsUntil = std::max(
+      Session.NoStartsUntil, Now + FirstDistrustPause * (1U << Doublings));
 }
 
 double paceFactorOf(const WorkerSession &Session, Time Now) {
@@ -281,17 +286,18 @@
 }
 
 bool isTrusted(const WorkerSession &Session) {
-  return Session.FailedInRow < DistrustedAfter || Session.Runs.empty();
+  return Session.ConsecutiveFailures < DistrustThreshold ||
+         Session.Runs.empty();
 }
 
-HoldFindings takeHold(WorkerSession &Session, const HoldAnswer &Answer,
-                      Time Now) {
+HoldFindings applyHoldAnswer(WorkerSession &Session, const HoldAnswer &Answer,
+                             Time Now) {
   HoldFindings Out;
   Out.Current = noteClock(Session, Answer.Clock, Now);
-  takeEnds(Session, Answer, Out, Now);
+  applyEnds(Session, Answer, Out, Now);
   if (!Out.Current)
     return Out;
-  takeRunning(Session, Answer, Out);
+  applyRunning(Session, Answer, Out);
   if (!Answer.Partial)
     dropMissing(Session, Answer, Out);
   return Out;
--- a/src/jobs/internal/workersession.h
+++ b/src/jobs/internal/workersession.h
@@ -36,7 +36,7 @@
   bool Stopping = false;
   /// A hold answer from after this moment of the worker's clock that does not
   /// list the run shows that it does not exist.
-  WorkerMillis ShownAfter;
+  WorkerMillis ListedAfter;
   /// How long it is expected to run.
   Duration Expected{0};
   /// An earlier owner ordered it, so that its beginning is not known.
@@ -58,10 +58,10 @@
   /// The moment of its clock from which the present one is estimated, and the
   /// latest time here at which it was. An estimate from an earlier one might be
   /// closer, but a worker that stood still since would be taken to be ahead.
-  WorkerMillis Moment;
-  Time MomentSeen;
+  WorkerMillis ClockReading;
+  Time ClockReadAt;
   /// It has answered a hold of this leader, so all that runs there is known.
-  bool Known = false;
+  bool RunsKnown = false;
   /// The last hold failed: nothing is started, and no lease renewed, until one
   /// succeeds.
   bool Silent = false;
@@ -74,7 +74,7 @@
   /// another lease is given.
   Time LeaseEnds;
   /// The worker refused work; it gets none before this time.
-  Time RestUntil;
+  Time NoStartsUntil;
   /// It had no room for so much in all, though it announced more. That counts
   /// until it may have announced its room again.
   std::optional<Resources> Refused;
@@ -93,30 +93,30 @@
   /// How long its tasks took against what was expected.
   scheduling::WorkerPace Pace;
   /// First runs of tasks that failed there since one ended well.
-  std::uint32_t FailedInRow = 0;
+  std::uint32_t ConsecutiveFailures = 0;
   /// Tasks run there that this owner does not know, and another owner that is
   /// out of reach may count on their lease to end. So no lease is given, nor
   /// anything started, before they have gone.
-  bool Foreign = false;
+  bool HasForeignRuns = false;
 
-  bool HoldUnderWay = false;
+  bool HoldInFlight = false;
   /// Counts the holds; an answer to an earlier one is as good, but only the
   /// latest is followed by another.
   std::uint64_t HoldSerial = 0;
   /// When the latest hold was sent, and how long the worker may wait with its
   /// answer.
   Time HoldSent;
-  Duration HoldFor{0};
+  Duration RequestedHoldWait{0};
   /// The latest hold was sent because the one before it is overdue.
-  bool HoldRepeated = false;
+  bool HoldResent = false;
   /// When the hold was sent that renewed the lease last, of those answered.
   std::optional<Time> RenewedAt;
   /// When the latest question was sent that it has answered.
-  Time LookedAt;
+  Time LastAnsweredSentAt;
   /// The highest end that is recorded in the log or needs no record.
-  std::uint64_t RecordedEnd = 0;
+  std::uint64_t LastRecordedEnd = 0;
   /// The highest end that has been taken into a batch.
-  std::uint64_t TakenEnd = 0;
+  std::uint64_t LastBatchedEnd = 0;
 };
 
 /// The longest lease that workers grant, and the pace of what renews it. From
@@ -149,7 +149,7 @@
   /// How long an order to start is valid at least. One that gets no answer is
   /// known to be dead after that, instead of after the lease: a task of 60 ms
   /// then starts elsewhere in time for an objective of 156 ms.
-  Duration OrderValid = std::chrono::milliseconds(60);
+  Duration MinOrderValidity = std::chrono::milliseconds(60);
   /// A lease that was renewed by a hold within this time outlives an order; an
   /// order to a worker without one carries a whole lease itself.
   Duration FreshLease = std::chrono::milliseconds(300);
@@ -198,22 +198,25 @@
 /// is late for the worker brings one too: an answer that has lain unread while
 /// this process stood still sets the estimate back by that time, and all orders
 /// would be late until the next hold.
-void noteMoment(WorkerSession &Session, WorkerMillis Moment, Time Now);
+void noteClockReading(WorkerSession &Session, WorkerMillis ClockReading,
+                      Time Now);
 /// The same for an answer to a hold. Returns false if an answer from a later
 /// moment was seen before.
 bool noteClock(WorkerSession &Session, WorkerMillis Clock, Time Now);
 
 /// Whether new tasks of \p Service may go to the worker, room or not.
-bool takesWorkOf(const WorkerSession &Session, const ServiceId &Service);
+bool acceptsWorkFor(const WorkerSession &Session, const ServiceId &Service);
 
 /// Whether the worker has room for \p Needs beside what runs there.
-bool hasRoom(const WorkerSession &Session, const Resources &Needs, Time Now);
+bool hasFreeCapacity(const WorkerSession &Session, const Resources &Needs,
+                     Time Now);
 /// Whether the worker carries \p Label; an empty one asks for none.
 bool carries(const WorkerInfo &Info, const std::string &Label);
 /// Whether the worker would have room for \p Needs if nothing ran there.
 bool isLargeEnough(const WorkerSession &Session, const Resources &Needs);
 /// Notes that the worker had no room for \p Needs beside what runs there.
-void noteNoRoom(WorkerSession &Session, const Resources &Needs, Time Now);
+void noteCapacityRefusal(WorkerSession &Session, const Resources &Needs,
+                         Time Now);
 
 /// Whether a task may run there with what does: a suspected one only alone.
 bool mayRunThere(const WorkerSession &Session, bool Suspected, Time Now);
@@ -226,7 +229,7 @@
 /// A worker on which so many tasks in a row have failed is distrusted: a worker
 /// that fails all it starts is always free and draws every task. Four in a row
 /// happen by chance once in 600 where a fifth of all tasks cannot be done.
-constexpr std::uint32_t DistrustedAfter = 4;
+constexpr std::uint32_t DistrustThreshold = 4;
 
 /// Notes how a run ended there. \p FirstTry: the task has not failed before, so
 /// that a task which cannot be done blames one worker only.
@@ -240,9 +243,9 @@
 bool isTrusted(const WorkerSession &Session);
 
 /// How long a run took.
-struct TookTime {
+struct RunTiming {
   /// From its order until it was listed as ended.
-  Duration Took{0};
+  Duration Elapsed{0};
   Duration Expected{0};
 };
 
@@ -254,7 +257,7 @@
   /// Runs of this leader that have ended, with their ends.
   std::vector<EndedTask> Ended;
   /// Of those that this leader ordered.
-  std::unordered_map<TaskId, TookTime> Took;
+  std::unordered_map<TaskId, RunTiming> RunTimings;
   /// Tasks that run there and that the session did not have.
   std::vector<RunningTask> Found;
   /// Runs that turned out not to exist. They have been removed.
@@ -263,8 +266,8 @@
 
 /// Takes an answer: removes runs that ended or do not exist, confirms those
 /// that run. Ends that were taken before are left out.
-HoldFindings takeHold(WorkerSession &Session, const HoldAnswer &Answer,
-                      Time Now);
+HoldFindings applyHoldAnswer(WorkerSession &Session, const HoldAnswer &Answer,
+                             Time Now);
 
 } // namespace geraniumbay::jobs
 
--- a/src/jobs/internal/workerwatch.cpp
+++ b/src/jobs/internal/workerwatch.cpp
@@ -26,9 +26,9 @@
 constexpr Duration LongestRetryPause = std::chrono::milliseconds(800);
 
 /// How a worker is lost whose hold failed with \p Why.
-scheduling::WorkerLoss lossOf(const Error &Why) {
-  return Why.Code == ErrorCode::Timeout ? scheduling::WorkerLoss::Silent
-                                        : scheduling::WorkerLoss::Refused;
+scheduling::WorkerLoss lossOf(const Error &Failure) {
+  return Failure.Code == ErrorCode::Timeout ? scheduling::WorkerLoss::Silent
+                                            : scheduling::WorkerLoss::Refused;
 }
 
 } // namespace
@@ -40,180 +40,187 @@
 
 void Scheduler::takeWorkers(const WorkerDirectory &Directory) {
   Time Now = Needs_.Clock.now();
-  for (const auto &[Id, Known] : Directory.Workers) {
-    auto [Place, Fresh] = Sessions_.try_emplace(Id);
-    WorkerSession &With = Place->second;
-    bool Drains = Known.Info.Draining && !With.Info.Draining;
-    With.Info = Known.Info;
-    With.Evacuated = Needs_.Evacuated.count(Known.Info.DataCentre) != 0;
-    if (Drains)
+  for (const auto &[Id, Listed] : Directory.Workers) {
+    auto [Entry, Inserted] = Sessions_.try_emplace(Id);
+    WorkerSession &Session = Entry->second;
+    bool StartsDraining = Listed.Info.Draining && !Session.Info.Draining;
+    Session.Info = Listed.Info;
+    Session.Evacuated = Needs_.Evacuated.count(Listed.Info.DataCentre) != 0;
+    if (StartsDraining)
       logEvent(LogLevel::Info, Module, "worker_drains", {{"worker", Id}});
-    if (!Fresh)
+    if (!Inserted)
       continue;
-    With.Clock = Known.Info.Clock;
-    With.Moment = Known.Info.Clock;
-    With.MomentSeen = Now;
+    Session.Clock = Listed.Info.Clock;
+    Session.ClockReading = Listed.Info.Clock;
+    Session.ClockReadAt = Now;
     logEvent(LogLevel::Info, Module, "worker_found",
              {{"worker", Id},
-              {"address", Known.Info.At.text()},
-              {"data_centre", Known.Info.DataCentre}});
-    hold(With);
+              {"address", Listed.Info.At.text()},
+              {"data_centre", Listed.Info.DataCentre}});
+    sendHold(Session);
   }
-  std::vector<WorkerId> Gone;
-  for (auto &[Id, With] : Sessions_) {
-    With.Unlisted = Directory.Workers.count(Id) == 0;
-    if (With.Unlisted && With.Runs.empty())
-      Gone.push_back(Id);
+  std::vector<WorkerId> Unlisted;
+  for (auto &[Id, Session] : Sessions_) {
+    Session.Unlisted = Directory.Workers.count(Id) == 0;
+    if (Session.Unlisted && Session.Runs.empty())
+      Unlisted.push_back(Id);
   }
-  for (const WorkerId &Id : Gone)
+  for (const WorkerId &Id : Unlisted)
     dropWorker(Id, "not announced any more", scheduling::WorkerLoss::Silent);
 }
 
-void Scheduler::hold(WorkerSession &With) {
+void Scheduler::sendHold(WorkerSession &Session) {
   Time Now = Needs_.Clock.now();
-  bool Overdue = isHoldOverdue(With, Lease_, Now);
-  bool Due = !With.HoldUnderWay || Overdue || isHoldTooLong(With, Lease_, Now);
+  bool Overdue = isHoldOverdue(Session, Lease_, Now);
+  bool Due =
+      !Session.HoldInFlight || Overdue || isHoldTooLong(Session, Lease_, Now);
   if (!Due || !Needs_.MayOrder())
     return;
   HoldOrder Order;
   Order.Token = Token_;
-  Order.LastSeenEnd = With.RecordedEnd;
+  Order.LastSeenEnd = Session.LastRecordedEnd;
   // A lease keeps alive whatever runs there. So none is given before all that
   // runs there is known, nor to a worker whose silence must come to an end.
-  if (With.Known && !With.Silent && !With.Foreign) {
-    Order.LeaseUntil = leaseUntil(With, Lease_, Lease_.Longest, Now);
-    Order.Wait = nextHoldWait(With, Lease_, Timing_, Now);
-    noteLease(With, Lease_, Lease_.Longest, Now);
+  if (Session.RunsKnown && !Session.Silent && !Session.HasForeignRuns) {
+    Order.LeaseUntil = leaseUntil(Session, Lease_, Lease_.Longest, Now);
+    Order.Wait = nextHoldWait(Session, Lease_, Timing_, Now);
+    noteLease(Session, Lease_, Lease_.Longest, Now);
   }
-  With.HoldUnderWay = true;
-  With.HoldSent = Now;
-  With.HoldFor = Order.Wait;
-  With.HoldRepeated = Overdue;
-  ++With.HoldSerial;
-  Needs_.Workers.hold(
-      {With.Info.Worker, With.Info.At}, Order,
-      [this, Alive = Alive_, Worker = With.Info.Worker,
-       When = Sent{Now, Token_, With.HoldSerial, Order.LeaseUntil.has_value()}](
-          const Outcome<HoldAnswer> &Answer) {
-        if (*Alive)
-          held(Worker, When, Answer);
-      });
+  Session.HoldInFlight = true;
+  Session.HoldSent = Now;
+  Session.RequestedHoldWait = Order.Wait;
+  Session.HoldResent = Overdue;
+  ++Session.HoldSerial;
+  Needs_.Workers.hold({Session.Info.Worker, Session.Info.At}, Order,
+                      [this, Alive = Alive_, Worker = Session.Info.Worker,
+                       When = Sent{Now, Token_, Session.HoldSerial,
+                                   Order.LeaseUntil.has_value()}](
+                          const Outcome<HoldAnswer> &Answer) {
+                        if (*Alive)
+                          handleHoldAnswer(Worker, When, Answer);
+                      });
 }
 
-void Scheduler::look(WorkerSession &With, std::function<void()> Then) {
+void Scheduler::queryRuns(WorkerSession &Session,
+                          std::function<void()> OnAnswer) {
   if (!Needs_.MayOrder())
     return;
   HoldOrder Order;
   Order.Token = Token_;
-  Order.LastSeenEnd = With.RecordedEnd;
-  Needs_.Workers.hold({With.Info.Worker, With.Info.At}, Order,
-                      [this, Alive = Alive_, Worker = With.Info.Worker,
-                       Sent = Needs_.Clock.now(), Then = std::move(Then)](
-                          const Outcome<HoldAnswer> &Answer) {
-                        WorkerSession *On = *Alive ? session(Worker) : nullptr;
-                        if (!On || !Answer)
-                          return;
-                        takeAnswer(*On, Sent, *Answer);
-                        if (Then)
-                          Then();
-                      });
+  Order.LastSeenEnd = Session.LastRecordedEnd;
+  Needs_.Workers.hold(
+      {Session.Info.Worker, Session.Info.At}, Order,
+      [this, Alive = Alive_, Worker = Session.Info.Worker,
+       Sent = Needs_.Clock.now(),
+       OnAnswer = std::move(OnAnswer)](const Outcome<HoldAnswer> &Answer) {
+        WorkerSession *Current = *Alive ? session(Worker) : nullptr;
+        if (!Current || !Answer)
+          return;
+        applyAnswer(*Current, Sent, *Answer);
+        if (OnAnswer)
+          OnAnswer();
+      });
 }
 
-void Scheduler::takeAnswer(WorkerSession &On, Time Sent,
-                           const HoldAnswer &Answer) {
-  HoldFindings Findings = takeHold(On, Answer, Needs_.Clock.now());
-  takeFindings(On, Findings, !On.Known || On.Silent);
+void Scheduler::applyAnswer(WorkerSession &Session, Time Sent,
+                            const HoldAnswer &Answer) {
+  HoldFindings Findings = applyHoldAnswer(Session, Answer, Needs_.Clock.now());
+  applyFindings(Session, Findings, !Session.RunsKnown || Session.Silent);
   if (!Findings.Current)
     return;
-  On.LookedAt = std::max(On.LookedAt, Sent);
-  On.Known = true;
-  if (On.Silent)
+  Session.LastAnsweredSentAt = std::max(Session.LastAnsweredSentAt, Sent);
+  Session.RunsKnown = true;
+  if (Session.Silent)
     logEvent(LogLevel::Info, Module, "worker_answers",
-             {{"worker", On.Info.Worker}});
-  On.Silent = false;
-  On.RetryPause = Duration(0);
-  On.RetryAt = Time();
-  On.HasUnknownRuns = On.Foreign = false;
+             {{"worker", Session.Info.Worker}});
+  Session.Silent = false;
+  Session.RetryPause = Duration(0);
+  Session.RetryAt = Time();
+  Session.HasUnknownRuns = Session.HasForeignRuns = false;
   for (const RunningTask &Each : Findings.Found) {
-    if (On.Runs.count(Each.Task) != 0)
+    if (Session.Runs.count(Each.Task) != 0)
       continue;
-    On.HasUnknownRuns = true;
+    Session.HasUnknownRuns = true;
     bool Renewed = Lease_.RenewOrphans && Orphans_.count(Each.Task) != 0;
-    On.Foreign = On.Foreign || !Renewed;
+    Session.HasForeignRuns = Session.HasForeignRuns || !Renewed;
   }
   takeOverIfAllKnown();
 }
 
-void Scheduler::held(const WorkerId &Worker, const Sent &Order,
-                     const Outcome<HoldAnswer> &Answer) {
-  WorkerSession *With = session(Worker);
-  if (!With)
+void Scheduler::handleHoldAnswer(const WorkerId &Worker, const Sent &Order,
+                                 const Outcome<HoldAnswer> &Answer) {
+  WorkerSession *Session = session(Worker);
+  if (!Session)
     return;
-  bool Latest = Order.Serial == With->HoldSerial;
+  bool Latest = Order.Serial == Session->HoldSerial;
   if (Latest)
-    With->HoldUnderWay = false;
+    Session->HoldInFlight = false;
   if (!Answer && Answer.error().Code == ErrorCode::NotFound)
     return dropWorker(Worker, "another incarnation answered",
                       scheduling::WorkerLoss::Crashed);
   if (!Answer && Answer.error().Code == ErrorCode::Conflict)
     return Needs_.Fenced(Order.Token);
   if (!Answer && Answer.error().Code == ErrorCode::Timeout &&
-      With->LookedAt > Order.At)
+      Session->LastAnsweredSentAt > Order.At)
     scheduling::noteAnswerLost(Timing_, Needs_.Clock.now());
   // One that was repeated says nothing of the worker by its silence.
   if (!Answer && !Latest)
     return;
   if (!Answer) {
-    if (!With->Silent)
+    if (!Session->Silent)
       logEvent(LogLevel::Warning, Module, "worker_silent",
                {{"worker", Worker},
-                {"runs", With->Runs.size()},
+                {"runs", Session->Runs.size()},
                 {"reason", Answer.error().Message}});
-    With->Silent = true;
-    With->Failure = lossOf(Answer.error());
-    With->RetryPause =
-        std::clamp(With->RetryPause * 2, FirstRetryPause, LongestRetryPause);
-    With->RetryAt = Needs_.Clock.now() + With->RetryPause;
+    Session->Silent = true;
+    Session->Failure = lossOf(Answer.error());
+    Session->RetryPause =
+        std::clamp(Session->RetryPause * 2, FirstRetryPause, LongestRetryPause);
+    Session->RetryAt = Needs_.Clock.now() + Session->RetryPause;
     return;
   }
-  takeAnswer(*With, Order.At, *Answer);
+  applyAnswer(*Session, Order.At, *Answer);
   if (Order.Renews)
-    With->RenewedAt = std::max(With->RenewedAt.value_or(Time()), Order.At);
+    Session->RenewedAt =
+        std::max(Session->RenewedAt.value_or(Time()), Order.At);
   if (!Latest)
     return scheduleSoon();
   // Without a lease the worker answers at once: the tick asks again.
-  if (With->TakenEnd == With->RecordedEnd && !With->Foreign)
-    hold(*With);
-  else if (!With->Foreign)
-    holdLater(Worker);
+  if (Session->LastBatchedEnd == Session->LastRecordedEnd &&
+      !Session->HasForeignRuns)
+    sendHold(*Session);
+  else if (!Session->HasForeignRuns)
+    sendHoldLater(Worker);
   scheduleSoon();
 }
 
-void Scheduler::holdLater(const WorkerId &Worker) {
+void Scheduler::sendHoldLater(const WorkerId &Worker) {
   Needs_.Timers.after(RecordingPause, [this, Alive = Alive_, Worker] {
-    WorkerSession *With = *Alive ? session(Worker) : nullptr;
-    if (With)
-      hold(*With);
+    WorkerSession *Session = *Alive ? session(Worker) : nullptr;
+    if (Session)
+      sendHold(*Session);
   });
 }
 
-void Scheduler::takeFindings(WorkerSession &On, const HoldFindings &Findings,
-                             bool Fresh) {
+void Scheduler::applyFindings(WorkerSession &Session,
+                              const HoldFindings &Findings,
+                              bool NewlyReachable) {
   for (const EndedTask &End : Findings.Ended) {
-    auto Left = Orphans_.find(End.Task);
+    auto Orphan = Orphans_.find(End.Task);
     bool Unknown = !TakenOver_ && !jobOf(End.Task.Job);
-    if (Unknown && End.How == EndKind::Done)
-      Orphans_[End.Task] = {On.Info.Worker, End.Run, true};
-    else if (Left != Orphans_.end() && Left->second.Worker == On.Info.Worker) {
-      Left->second.Done = End.How == EndKind::Done;
-      if (!Left->second.Done)
-        Orphans_.erase(Left);
+    if (Unknown && End.Kind == EndKind::Done)
+      Orphans_[End.Task] = {Session.Info.Worker, End.Run, true};
+    else if (Orphan != Orphans_.end() &&
+             Orphan->second.Worker == Session.Info.Worker) {
+      Orphan->second.Done = End.Kind == EndKind::Done;
+      if (!Orphan->second.Done)
+        Orphans_.erase(Orphan);
     }
     auto Place = Places_.find(End.Task);
-    if (Place != Places_.end() && Place->second == On.Info.Worker &&
-        On.Runs.count(End.Task) == 0)
+    if (Place != Places_.end() && Place->second == Session.Info.Worker &&
+        Session.Runs.count(End.Task) == 0)
       Places_.erase(Place);
-    if (End.How == EndKind::Other)
+    if (End.Kind == EndKind::Other)
       enqueue(End.Task);
   }
   for (const TaskId &Task : Findings.Missing) {
@@ -221,31 +228,32 @@
              {{"job", Task.Job},
               {"step", Task.Step},
               {"index", Task.Index},
-              {"worker", On.Info.Worker}});
+              {"worker", Session.Info.Worker}});
     Places_.erase(Task);
     enqueue(Task);
   }
   for (const RunningTask &Task : Findings.Found)
-    found(On, Task, Fresh);
+    handleFoundRun(Session, Task, NewlyReachable);
   // A stop may have been lost on its way.
-  for (const auto &[Task, Each] : On.Runs)
+  for (const auto &[Task, Each] : Session.Runs)
     if (Each.Stopping)
-      Needs_.Workers.stop({On.Info.Worker, On.Info.At},
+      Needs_.Workers.stop({Session.Info.Worker, Session.Info.At},
                           {Task, Each.Number, Token_});
   if (!Findings.Ended.empty())
-    recordEnds(On, Findings);
+    recordEnds(Session, Findings);
 }
 
-void Scheduler::found(WorkerSession &On, const RunningTask &Task, bool Fresh) {
-  const Job *Of = jobOf(Task.Task.Job);
+void Scheduler::handleFoundRun(WorkerSession &Session, const RunningTask &Task,
+                               bool NewlyReachable) {
+  const Job *KnownJob = jobOf(Task.Task.Job);
   const TaskRecord *Record = taskOf(Task.Task);
   bool Wanted = Record && !Record->Done && Ending_.count(Task.Task) == 0;
   if (Wanted && Places_.count(Task.Task) == 0)
-    return adopt(On, Task);
+    return adoptRun(Session, Task);
   // The entry that waits for an unknown job hands it in again.
-  bool Kept = Fresh || Orphans_.count(Task.Task) != 0;
-  if (!Of && Kept && Needs_.Clock.now() < OrphansUntil_) {
-    Orphans_[Task.Task] = {On.Info.Worker, Task.Run, false};
+  bool Kept = NewlyReachable || Orphans_.count(Task.Task) != 0;
+  if (!KnownJob && Kept && Needs_.Clock.now() < OrphansUntil_) {
+    Orphans_[Task.Task] = {Session.Info.Worker, Task.Run, false};
     return;
   }
   logEvent(LogLevel::Info, Module, "run_unwanted",
@@ -253,67 +261,68 @@
             {"step", Task.Task.Step},
             {"index", Task.Task.Index},
             {"run", Task.Run.value()},
-            {"worker", On.Info.Worker}});
-  Needs_.Workers.stop({On.Info.Worker, On.Info.At},
+            {"worker", Session.Info.Worker}});
+  Needs_.Workers.stop({Session.Info.Worker, Session.Info.At},
                       {Task.Task, Task.Run, Token_});
 }
 
-void Scheduler::adopt(WorkerSession &On, const RunningTask &Task) {
+void Scheduler::adoptRun(WorkerSession &Session, const RunningTask &Task) {
   logEvent(LogLevel::Info, Module, "run_adopted",
            {{"job", Task.Task.Job},
             {"step", Task.Task.Step},
             {"index", Task.Task.Index},
             {"run", Task.Run.value()},
-            {"worker", On.Info.Worker}});
-  const Job &Of = *jobOf(Task.Task.Job);
+            {"worker", Session.Info.Worker}});
+  const Job &TaskJob = *jobOf(Task.Task.Job);
   if (auto Rank = Ranks_.find(Task.Task); Rank != Ranks_.end()) {
     Queue_.erase(Rank->second);
     Ranks_.erase(Rank);
   }
   Time Now = Needs_.Clock.now();
-  const StepSpec &Step = Of.Spec.Steps[Task.Task.Step];
-  addRun(On, Task.Task,
-         Run{Task.Run, Step.Needs, Now, true, false, On.Clock,
-             expectedRun(Of, Step, Now), true, isSuspected(Task.Task)});
+  const StepSpec &Step = TaskJob.Spec.Steps[Task.Task.Step];
+  addRun(Session, Task.Task,
+         Run{Task.Run, Step.Needs, Now, true, false, Session.Clock,
+             expectedRun(TaskJob, Step, Now), true, isSuspected(Task.Task)});
   // It runs under a lease that an earlier owner gave, perhaps just now.
-  noteLease(On, Lease_, Lease_.Longest, Now);
-  Places_[Task.Task] = On.Info.Worker;
+  noteLease(Session, Lease_, Lease_.Longest, Now);
+  Places_[Task.Task] = Session.Info.Worker;
   RunNumber &Last = LastRuns_[Task.Task];
   Last = std::max(Last, Task.Run);
   Begun_.insert(Task.Task.Job);
 }
 
 void Scheduler::stopRunsOf(const JobId &Id) {
-  for (auto &[Worker, With] : Sessions_)
-    for (auto &[Task, Each] : With.Runs) {
+  for (auto &[Worker, Session] : Sessions_)
+    for (auto &[Task, Each] : Session.Runs) {
       if (Task.Job != Id)
         continue;
       Each.Stopping = true;
-      Needs_.Workers.stop({Worker, With.Info.At}, {Task, Each.Number, Token_});
+      Needs_.Workers.stop({Worker, Session.Info.At},
+                          {Task, Each.Number, Token_});
     }
 }
 
 void Scheduler::dropWorker(const WorkerId &Worker, const char *Reason,
-                           scheduling::WorkerLoss How) {
-  WorkerSession *With = session(Worker);
-  if (!With)
+                           scheduling::WorkerLoss Loss) {
+  WorkerSession *Session = session(Worker);
+  if (!Session)
     return;
   logEvent(LogLevel::Info, Module, "worker_dropped",
            {{"worker", Worker}, {"reason", Reason}});
-  loseRuns(*With, Reason, How);
+  loseRuns(*Session, Reason, Loss);
   Sessions_.erase(Worker);
   scheduleSoon();
 }
 
 void Scheduler::checkLeases(Time Now) {
-  for (auto &[Worker, With] : Sessions_) {
-    if (With.Silent && !With.Runs.empty() && Now >= With.LeaseEnds)
-      loseRuns(With, "lease over", With.Failure);
-    bool Recording = With.TakenEnd != With.RecordedEnd;
-    bool Replaced =
-        isHoldOverdue(With, Lease_, Now) || isHoldTooLong(With, Lease_, Now);
-    if (Replaced || (!Recording && Now >= With.RetryAt))
-      hold(With);
+  for (auto &[Worker, Session] : Sessions_) {
+    if (Session.Silent && !Session.Runs.empty() && Now >= Session.LeaseEnds)
+      loseRuns(Session, "lease over", Session.Failure);
+    bool Recording = Session.LastBatchedEnd != Session.LastRecordedEnd;
+    bool NeedsResend = isHoldOverdue(Session, Lease_, Now) ||
+                       isHoldTooLong(Session, Lease_, Now);
+    if (NeedsResend || (!Recording && Now >= Session.RetryAt))
+      sendHold(Session);
   }
 }
 
--- a/src/jobs/iworkercalls.h
+++ b/src/jobs/iworkercalls.h
@@ -59,8 +59,8 @@
   Fenced,      ///< The worker obeys a later leader.
   OutOfOrder,  ///< A run as high has been there: use a higher number.
   Late,        ///< It arrived after its lease.
-  NoRoom,      ///< The worker's admission check refused it.
-  Gone,        ///< Another incarnation of the worker answered.
+  NoCapacity,  ///< The worker's admission check refused it.
+  Replaced,    ///< Another incarnation of the worker answered.
   Unhealthy,   ///< The worker refuses work now.
   Invalid,     ///< The worker cannot understand the order.
   NotReceived, ///< The order certainly did not reach the worker.
@@ -92,7 +92,7 @@
   std::uint64_t Number = 0;
   TaskId Task;
   RunNumber Run;
-  EndKind How = EndKind::Other;
+  EndKind Kind = EndKind::Other;
 };
 
 /// What a worker had at one moment of its clock.
--- a/src/jobs/jobtypes.h
+++ b/src/jobs/jobtypes.h
@@ -88,7 +88,7 @@
   /// The highest run whose end is recorded; a lower one is a repetition.
   RunNumber LastEnded;
   /// Whether it may crash its workers.
-  scheduling::Suspicion Seen;
+  scheduling::Suspicion Suspicion;
 
   bool operator==(const TaskRecord &) const = default;
 };
@@ -102,7 +102,7 @@
 struct SuspectTask {
   std::uint32_t Step = 0;
   std::uint32_t Index = 0;
-  scheduling::Suspicion Seen;
+  scheduling::Suspicion Suspicion;
 
   bool operator==(const SuspectTask &) const = default;
 };
@@ -114,7 +114,7 @@
 };
 using SuspectsByJob = std::unordered_map<JobId, RememberedSuspects>;
 /// How long it is kept: callers send a job again for some seconds.
-constexpr Duration KeepSuspects = std::chrono::seconds(60);
+constexpr Duration SuspectRetention = std::chrono::seconds(60);
 
 /// A job with all that is durable about it.
 struct Job {
@@ -131,7 +131,7 @@
   /// What schedulers before have seen of its tasks.
   std::vector<SuspectTask> Suspects;
   /// The token of the scheduler that accepted it.
-  FencingToken AcceptedIn;
+  FencingToken AcceptedUnder;
   JobSpec Spec;
   JobState State = JobState::Active;
   /// By step and index. Invariant: as the counts of Spec; empty once the job
@@ -164,7 +164,7 @@
 /// A worker that was lost under a task.
 struct TaskLoss {
   TaskId Task;
-  scheduling::WorkerLoss How = scheduling::WorkerLoss::Silent;
+  scheduling::WorkerLoss Cause = scheduling::WorkerLoss::Silent;
   /// Nothing else ran there.
   bool Alone = false;
 
@@ -190,13 +190,13 @@
   std::vector<JobId> Forgotten;
   std::vector<EvacuationOrder> Evacuations;
   /// From now on the workers are divided by racks, for good, into these groups.
-  bool DividesByRacks = false;
+  bool SplitByRack = false;
   RackGroups Groups;
 
   bool empty() const {
     return Accepted.empty() && Ended.empty() && Lost.empty() &&
            Cancelled.empty() && Forgotten.empty() && Evacuations.empty() &&
-           !DividesByRacks;
+           !SplitByRack;
   }
   bool operator==(const JobChanges &) const = default;
 };
--- a/src/jobs/tests/fakeworkers.cpp
+++ b/src/jobs/tests/fakeworkers.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration Way = 1ms;
+constexpr Duration OneWayDelay = 1ms;
 constexpr Duration LongestLease = 1000ms;
 constexpr Duration CallTimeout = 400ms;
 
@@ -64,40 +64,41 @@
   return false;
 }
 
-void FakeWorkers::checkLease(Worker &At) {
-  if (Clock_.now() < At.Lease)
+void FakeWorkers::checkLease(Worker &Target) {
+  if (Clock_.now() < Target.Lease)
     return;
   std::vector<TaskId> Lapsed;
-  for (const auto &[Task, Each] : At.Tasks)
+  for (const auto &[Task, Each] : Target.Tasks)
     Lapsed.push_back(Task);
   for (const TaskId &Task : Lapsed)
-    end(At, Task, EndKind::Other);
+    end(Target, Task, EndKind::Other);
 }
 
-void FakeWorkers::extend(Worker &At, WorkerMillis Until) {
+void FakeWorkers::extend(Worker &Target, WorkerMillis Until) {
   Time Wanted{std::chrono::milliseconds(Until.value())};
-  At.Lease = std::max(At.Lease, std::min(Wanted, Clock_.now() + LongestLease));
+  Target.Lease =
+      std::max(Target.Lease, std::min(Wanted, Clock_.now() + LongestLease));
 }
 
-void FakeWorkers::end(Worker &At, const TaskId &Task, EndKind How) {
-  auto Found = At.Tasks.find(Task);
-  if (Found == At.Tasks.end())
+void FakeWorkers::end(Worker &Target, const TaskId &Task, EndKind Kind) {
+  auto Found = Target.Tasks.find(Task);
+  if (Found == Target.Tasks.end())
     return;
-  At.Ends.push_back({++At.LastEnd, Task, Found->second.Number, How});
-  At.Ended[Task] = std::max(At.Ended[Task], Found->second.Number);
-  At.Tasks.erase(Found);
-  if (At.Waiting)
-    std::exchange(At.Waiting, nullptr)();
+  Target.Ends.push_back({++Target.LastEnd, Task, Found->second.Number, Kind});
+  Target.Ended[Task] = std::max(Target.Ended[Task], Found->second.Number);
+  Target.Tasks.erase(Found);
+  if (Target.Waiting)
+    std::exchange(Target.Waiting, nullptr)();
 }
 
-void FakeWorkers::crash(Worker &At) {
-  if (At.Down)
+void FakeWorkers::crash(Worker &Target) {
+  if (Target.Down)
     return;
   ++Crashes;
-  At.Down = true;
-  At.Tasks.clear();
-  At.Waiting = nullptr;
-  Timers_.after(CrashDown, [this, Id = At.Info.Worker] { comeBack(Id); });
+  Target.Down = true;
+  Target.Tasks.clear();
+  Target.Waiting = nullptr;
+  Timers_.after(CrashDown, [this, Id = Target.Info.Worker] { comeBack(Id); });
 }
 
 void FakeWorkers::comeBack(const WorkerId &Id) {
@@ -114,80 +115,82 @@
     Restarted(Workers_[Id].Info, Info);
 }
 
-StartAnswer FakeWorkers::start(Worker &At, const StartOrder &Order) {
-  checkLease(At);
+StartAnswer FakeWorkers::start(Worker &Target, const StartOrder &Order) {
+  checkLease(Target);
   StartAnswer Answer{StartResult::Started, clockNow()};
-  if (Order.Token < At.Token)
+  if (Order.Token < Target.Token)
     return {StartResult::Fenced, clockNow()};
-  At.Token = Order.Token;
-  auto Found = At.Tasks.find(Order.Task);
-  if (Found != At.Tasks.end() && Found->second.Number == Order.Run)
+  Target.Token = Order.Token;
+  auto Found = Target.Tasks.find(Order.Task);
+  if (Found != Target.Tasks.end() && Found->second.Number == Order.Run)
     return Answer;
-  if (At.Ended.count(Order.Task) != 0 && Order.Run <= At.Ended[Order.Task])
+  if (Target.Ended.count(Order.Task) != 0 &&
+      Order.Run <= Target.Ended[Order.Task])
     return {StartResult::OutOfOrder, clockNow()};
   if (Order.LeaseUntil <= clockNow())
     return {StartResult::Late, clockNow()};
-  if (At.Tasks.size() >= At.Info.Capacity.CpuMillis / 1000) {
+  if (Target.Tasks.size() >= Target.Info.Capacity.CpuMillis / 1000) {
     ++RoomRefusals;
-    return {StartResult::NoRoom, clockNow()};
+    return {StartResult::NoCapacity, clockNow()};
   }
-  if (At.Tasks.empty())
-    At.Lease = Time{};
-  extend(At, Order.LeaseUntil);
-  if (Found != At.Tasks.end() || runsElsewhere(At, Order.Task))
+  if (Target.Tasks.empty())
+    Target.Lease = Time{};
+  extend(Target, Order.LeaseUntil);
+  if (Found != Target.Tasks.end() || runsElsewhere(Target, Order.Task))
     Doubled.insert(Order.Task);
   ++Starts;
-  ++StartsIn[At.Info.DataCentre];
-  LastStartIn[At.Info.DataCentre] = Clock_.now();
-  ++StartsOn[At.Info.Worker];
+  ++StartsIn[Target.Info.DataCentre];
+  LastStartIn[Target.Info.DataCentre] = Clock_.now();
+  ++StartsOn[Target.Info.Worker];
   std::uint64_t Serial = ++LastSerial_;
   if (CrashingJobs.count(Order.Task.Job) != 0) {
     ++StartsOfCrashing[Order.Task];
-    Timers_.after(Way * 5,
-                  [this, Id = At.Info.Worker] { crash(Workers_[Id]); });
+    Timers_.after(OneWayDelay * 5,
+                  [this, Id = Target.Info.Worker] { crash(Workers_[Id]); });
   }
-  At.Tasks[Order.Task] = {Order.Run, Serial};
-  bool IsBroken = Broken.count(At.Info.Worker) != 0;
+  Target.Tasks[Order.Task] = {Order.Run, Serial};
+  bool IsBroken = Broken.count(Target.Info.Worker) != 0;
   StartsOnBroken += IsBroken ? 1 : 0;
   bool Fails = IsBroken || Rng.below(100) < FailPercent;
-  Timers_.after(IsBroken ? Way : TaskTime, [this, Id = At.Info.Worker,
-                                            Task = Order.Task, Serial, Fails] {
-    Worker &There = Workers_[Id];
-    checkLease(There);
-    auto Still = There.Tasks.find(Task);
-    if (Still != There.Tasks.end() && Still->second.Serial == Serial)
-      end(There, Task, Fails ? EndKind::Failed : EndKind::Done);
-  });
+  Timers_.after(
+      IsBroken ? OneWayDelay : TaskTime,
+      [this, Id = Target.Info.Worker, Task = Order.Task, Serial, Fails] {
+        Worker &There = Workers_[Id];
+        checkLease(There);
+        auto Still = There.Tasks.find(Task);
+        if (Still != There.Tasks.end() && Still->second.Serial == Serial)
+          end(There, Task, Fails ? EndKind::Failed : EndKind::Done);
+      });
   return Answer;
 }
 
-bool FakeWorkers::stop(Worker &At, const StopOrder &Order) {
-  checkLease(At);
-  if (Order.Token < At.Token)
+bool FakeWorkers::stop(Worker &Target, const StopOrder &Order) {
+  checkLease(Target);
+  if (Order.Token < Target.Token)
     return false;
-  At.Token = Order.Token;
-  auto Found = At.Tasks.find(Order.Task);
-  if (Found != At.Tasks.end() && Found->second.Number <= Order.Run)
-    end(At, Order.Task, EndKind::Other);
-  At.Ended[Order.Task] = std::max(At.Ended[Order.Task], Order.Run);
+  Target.Token = Order.Token;
+  auto Found = Target.Tasks.find(Order.Task);
+  if (Found != Target.Tasks.end() && Found->second.Number <= Order.Run)
+    end(Target, Order.Task, EndKind::Other);
+  Target.Ended[Order.Task] = std::max(Target.Ended[Order.Task], Order.Run);
   return true;
 }
 
-Outcome<HoldAnswer> FakeWorkers::look(Worker &At, const HoldOrder &Order) {
-  checkLease(At);
-  if (Order.Token < At.Token)
+Outcome<HoldAnswer> FakeWorkers::look(Worker &Target, const HoldOrder &Order) {
+  checkLease(Target);
+  if (Order.Token < Target.Token)
     return Error{ErrorCode::Conflict, "a later owner"};
-  At.Token = Order.Token;
+  Target.Token = Order.Token;
   if (Order.LeaseUntil)
-    extend(At, *Order.LeaseUntil);
-  std::erase_if(At.Ends, [&](const EndedTask &End) {
+    extend(Target, *Order.LeaseUntil);
+  std::erase_if(Target.Ends, [&](const EndedTask &End) {
     return End.Number <= Order.LastSeenEnd;
   });
   HoldAnswer Answer;
   Answer.Clock = clockNow();
-  for (const auto &[Task, Each] : At.Tasks)
+  for (const auto &[Task, Each] : Target.Tasks)
     Answer.Running.push_back({Task, Each.Number});
-  Answer.Ended = At.Ends;
+  Answer.Ended = Target.Ends;
   return Answer;
 }
 
@@ -198,7 +201,8 @@
     return;
   bool Late = All_.Rng.below(100) < All_.Faults_.LatePercent;
   // Late orders are carried out seconds later.
-  Duration Delay = Late ? 2s + Duration(All_.Rng.below(4'000'000)) : Way;
+  Duration Delay =
+      Late ? 2s + Duration(All_.Rng.below(4'000'000)) : OneWayDelay;
   All_.Timers_.after(Delay, [this, To, Late, Arrive = std::move(Arrive)] {
     auto Found = All_.Workers_.find(To.Worker);
     if (Found == All_.Workers_.end() ||
@@ -212,13 +216,15 @@
                             std::function<void(StartAnswer)> Done) {
   auto Finish = once<StartAnswer>(All_.Timers_, std::move(Done), CallTimeout,
                                   StartAnswer());
-  deliver(To, [this, Order, To, Finish](FakeWorkers::Worker &At, bool Answers) {
-    if (At.Down)
-      return Finish({At.Replaced ? StartResult::Gone : StartResult::NotReceived,
-                     std::nullopt});
-    StartAnswer Answer = All_.start(At, Order);
+  deliver(To, [this, Order, To, Finish](FakeWorkers::Worker &Target,
+                                        bool Answers) {
+    if (Target.Down)
+      return Finish(
+          {Target.Replaced ? StartResult::Replaced : StartResult::NotReceived,
+           std::nullopt});
+    StartAnswer Answer = All_.start(Target, Order);
     if (Answers && !All_.Faults_.isCut(Host_, To.At.Address))
-      All_.Timers_.after(Way, [Finish, Answer] { Finish(Answer); });
+      All_.Timers_.after(OneWayDelay, [Finish, Answer] { Finish(Answer); });
   });
 }
 
@@ -226,12 +232,14 @@
                            StopCallback Done) {
   auto Finish = once<std::optional<WorkerMillis>>(All_.Timers_, std::move(Done),
                                                   CallTimeout, std::nullopt);
-  deliver(To, [this, Order, To, Finish](FakeWorkers::Worker &At, bool Answers) {
-    if (At.Down || !All_.stop(At, Order) || !Answers ||
-        All_.Faults_.isCut(Host_, To.At.Address))
-      return;
-    All_.Timers_.after(Way, [Finish, Now = All_.clockNow()] { Finish(Now); });
-  });
+  deliver(To,
+          [this, Order, To, Finish](FakeWorkers::Worker &Target, bool Answers) {
+            if (Target.Down || !All_.stop(Target, Order) || !Answers ||
+                All_.Faults_.isCut(Host_, To.At.Address))
+              return;
+            All_.Timers_.after(
+                OneWayDelay, [Finish, Now = All_.clockNow()] { Finish(Now); });
+          });
 }
 
 void FakeWorkerCalls::hold(const WorkerTarget &To, const HoldOrder &Order,
@@ -240,32 +248,33 @@
   auto Finish =
       once<Result>(All_.Timers_, std::move(Done), Order.Wait + CallTimeout,
                    Error{ErrorCode::Timeout, "no answer"});
-  deliver(To, [this, Order, To, Finish](FakeWorkers::Worker &At, bool Answers) {
-    if (!Answers)
-      return;
-    if (At.Down)
-      return Finish(
-          Error{At.Replaced ? ErrorCode::NotFound : ErrorCode::Refused,
-                "the worker is gone"});
-    Result First = All_.look(At, Order);
-    auto Answer = [this, To, Finish](const Result &What) {
-      if (!All_.Faults_.isCut(Host_, To.At.Address))
-        All_.Timers_.after(Way, [Finish, What] { Finish(What); });
-    };
-    if (!First || !First->Ended.empty() || Order.Wait == Duration(0))
-      return Answer(First);
-    // The lease is given now; the answer comes with the next end.
-    HoldOrder Again = Order;
-    Again.LeaseUntil.reset();
-    auto Open = std::make_shared<bool>(true);
-    auto Later = [this, Again, Answer, Open, Id = To.Worker] {
-      bool Gone = All_.Workers_[Id].Down;
-      if (std::exchange(*Open, false) && !Gone)
-        Answer(All_.look(All_.Workers_[Id], Again));
-    };
-    At.Waiting = Later;
-    All_.Timers_.after(Order.Wait, Later);
-  });
+  deliver(
+      To, [this, Order, To, Finish](FakeWorkers::Worker &Target, bool Answers) {
+        if (!Answers)
+          return;
+        if (Target.Down)
+          return Finish(
+              Error{Target.Replaced ? ErrorCode::NotFound : ErrorCode::Refused,
+                    "the worker is gone"});
+        Result First = All_.look(Target, Order);
+        auto Answer = [this, To, Finish](const Result &Reply) {
+          if (!All_.Faults_.isCut(Host_, To.At.Address))
+            All_.Timers_.after(OneWayDelay, [Finish, Reply] { Finish(Reply); });
+        };
+        if (!First || !First->Ended.empty() || Order.Wait == Duration(0))
+          return Answer(First);
+        // The lease is given now; the answer comes with the next end.
+        HoldOrder Again = Order;
+        Again.LeaseUntil.reset();
+        auto Open = std::make_shared<bool>(true);
+        auto Later = [this, Again, Answer, Open, Id = To.Worker] {
+          bool Gone = All_.Workers_[Id].Down;
+          if (std::exchange(*Open, false) && !Gone)
+            Answer(All_.look(All_.Workers_[Id], Again));
+        };
+        Target.Waiting = Later;
+        All_.Timers_.after(Order.Wait, Later);
+      });
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/tests/fakeworkers.h
+++ b/src/jobs/tests/fakeworkers.h
@@ -89,14 +89,14 @@
     bool Replaced = false;
   };
 
-  StartAnswer start(Worker &At, const StartOrder &Order);
+  StartAnswer start(Worker &Target, const StartOrder &Order);
   /// Returns whether the worker obeys.
-  bool stop(Worker &At, const StopOrder &Order);
-  Outcome<HoldAnswer> look(Worker &At, const HoldOrder &Order);
-  void extend(Worker &At, WorkerMillis Until);
-  void end(Worker &At, const TaskId &Task, EndKind How);
-  void checkLease(Worker &At);
-  void crash(Worker &At);
+  bool stop(Worker &Target, const StopOrder &Order);
+  Outcome<HoldAnswer> look(Worker &Target, const HoldOrder &Order);
+  void extend(Worker &Target, WorkerMillis Until);
+  void end(Worker &Target, const TaskId &Task, EndKind Kind);
+  void checkLease(Worker &Target);
+  void crash(Worker &Target);
   void comeBack(const WorkerId &Id);
   /// Changes what the worker takes at a time, without a word.
 public:
--- a/src/jobs/tests/workersessiontest.cpp
+++ b/src/jobs/tests/workersessiontest.cpp
@@ -13,19 +13,19 @@
 const TaskId First{JobId("job"), 0, 0};
 const TaskId Second{JobId("job"), 0, 1};
 
-WorkerSession sessionWith(const TaskId &Task, std::int64_t ShownAfter) {
+WorkerSession sessionWith(const TaskId &Task, std::int64_t ListedAfter) {
   WorkerSession Result;
   Result.Info.Capacity = {4000, 1000, 0};
   Result.Clock = WorkerMillis(1000);
-  Result.Moment = Result.Clock;
-  Result.MomentSeen = Now;
+  Result.ClockReading = Result.Clock;
+  Result.ClockReadAt = Now;
   addRun(Result, Task,
          jobs::Run{RunNumber(1),
                    {1000, 10, 0},
                    Now,
                    false,
                    false,
-                   WorkerMillis(ShownAfter)});
+                   WorkerMillis(ListedAfter)});
   return Result;
 }
 
@@ -37,9 +37,9 @@
 
 TEST(WorkerSessionTest, AStartWithoutAnAnswerIsGivenUpOnlyAfterItsLease) {
   WorkerSession Session = sessionWith(First, 2000);
-  EXPECT_TRUE(takeHold(Session, answerAt(2000), Now).Missing.empty());
+  EXPECT_TRUE(applyHoldAnswer(Session, answerAt(2000), Now).Missing.empty());
   EXPECT_EQ(Session.Used.CpuMillis, 1000U);
-  EXPECT_EQ(takeHold(Session, answerAt(2001), Now).Missing.size(), 1U);
+  EXPECT_EQ(applyHoldAnswer(Session, answerAt(2001), Now).Missing.size(), 1U);
   EXPECT_EQ(Session.Used.CpuMillis, 0U);
 }
 
@@ -47,9 +47,9 @@
   WorkerSession Session = sessionWith(First, 2000);
   HoldAnswer Answer = answerAt(1500);
   Answer.Ended.push_back({1, First, RunNumber(1), EndKind::Done});
-  EXPECT_EQ(takeHold(Session, Answer, Now).Ended.size(), 1U);
+  EXPECT_EQ(applyHoldAnswer(Session, Answer, Now).Ended.size(), 1U);
   EXPECT_TRUE(Session.Runs.empty());
-  EXPECT_TRUE(takeHold(Session, Answer, Now).Ended.empty());
+  EXPECT_TRUE(applyHoldAnswer(Session, Answer, Now).Ended.empty());
 }
 
 TEST(WorkerSessionTest, TheEndOfAnEarlierRunLeavesALaterOne) {
@@ -61,7 +61,7 @@
   HoldAnswer Answer = answerAt(1500);
   Answer.Ended.push_back({1, First, RunNumber(1), EndKind::Other});
   Answer.Running.push_back({First, RunNumber(2)});
-  takeHold(Session, Answer, Now);
+  applyHoldAnswer(Session, Answer, Now);
   EXPECT_EQ(Session.Runs.size(), 1U);
 }
 
@@ -72,10 +72,10 @@
   HoldAnswer Newer = answerAt(3000);
   Newer.Running.push_back({First, RunNumber(1)});
   Newer.Running.push_back({Second, RunNumber(1)});
-  HoldFindings Found = takeHold(Session, Newer, Now);
+  HoldFindings Found = applyHoldAnswer(Session, Newer, Now);
   EXPECT_TRUE(Found.Current);
   EXPECT_EQ(Found.Found.size(), 1U);
-  HoldFindings Old = takeHold(Session, answerAt(2500), Now);
+  HoldFindings Old = applyHoldAnswer(Session, answerAt(2500), Now);
   EXPECT_FALSE(Old.Current);
   EXPECT_TRUE(Old.Missing.empty());
   EXPECT_EQ(Session.Runs.size(), 1U);
@@ -94,10 +94,10 @@
 TEST(WorkerSessionTest, ALateStartCorrectsAnEstimateThatIsBehind) {
   WorkerSession Session = sessionWith(First, 0);
   LeaseSettings Settings;
-  takeHold(Session, answerAt(1010), Now + 300ms);
+  applyHoldAnswer(Session, answerAt(1010), Now + 300ms);
   EXPECT_EQ(leaseUntil(Session, Settings, 60ms, Now + 300ms),
             WorkerMillis(1070));
-  noteMoment(Session, WorkerMillis(1302), Now + 303ms);
+  noteClockReading(Session, WorkerMillis(1302), Now + 303ms);
   EXPECT_EQ(leaseUntil(Session, Settings, 60ms, Now + 303ms),
             WorkerMillis(1362));
 }
@@ -105,18 +105,18 @@
 // A worker that stood still is behind what its clock was taken to be.
 TEST(WorkerSessionTest, AnEstimateIsNeverAheadOfTheLatestAnswer) {
   WorkerSession Session = sessionWith(First, 0);
-  noteMoment(Session, WorkerMillis(1010), Now + 1s);
+  noteClockReading(Session, WorkerMillis(1010), Now + 1s);
   EXPECT_EQ(leaseUntil(Session, LeaseSettings(), 60ms, Now + 1s),
             WorkerMillis(1070));
 }
 
 TEST(WorkerSessionTest, AnyAnswerShowsHowFarTheClockHasCome) {
   WorkerSession Session = sessionWith(First, 0);
-  noteMoment(Session, WorkerMillis(1500), Now + 10ms);
+  noteClockReading(Session, WorkerMillis(1500), Now + 10ms);
   EXPECT_EQ(leaseUntil(Session, LeaseSettings(), 60ms, Now + 10ms),
             WorkerMillis(1560));
   // What holds list is still in the order of their own moments.
-  EXPECT_TRUE(takeHold(Session, answerAt(1400), Now + 20ms).Current);
+  EXPECT_TRUE(applyHoldAnswer(Session, answerAt(1400), Now + 20ms).Current);
 }
 
 TEST(WorkerSessionTest, WhatAPartialAnswerDoesNotListIsNotTakenForGone) {
@@ -125,10 +125,10 @@
   HoldAnswer Answer;
   Answer.Clock = WorkerMillis(2000);
   Answer.Partial = true;
-  EXPECT_TRUE(takeHold(Session, Answer, Now).Missing.empty());
+  EXPECT_TRUE(applyHoldAnswer(Session, Answer, Now).Missing.empty());
   Answer.Clock = WorkerMillis(2001);
   Answer.Partial = false;
-  EXPECT_EQ(takeHold(Session, Answer, Now).Missing.size(), 1U);
+  EXPECT_EQ(applyHoldAnswer(Session, Answer, Now).Missing.size(), 1U);
 }
 
 } // namespace
--- a/src/scheduling/admission.h
+++ b/src/scheduling/admission.h
@@ -27,18 +27,18 @@
 };
 
 /// Stable name of \p What for logs.
-const char *verdictName(Verdict What);
+const char *verdictName(Verdict Result);
 
 /// What becomes of a job.
 struct Admission {
-  Verdict What = Verdict::InTime;
+  Verdict Result = Verdict::InTime;
   /// Of one that is refused: when it is worth coming back.
   Duration RetryAfter{0};
 };
 
 /// How long until the last of a job's tasks starts; nothing if that is not in
 /// sight.
-struct Waits {
+struct WaitForecast {
   /// In its turn.
   std::optional<Duration> InTurn;
   /// If all that comes in of its own priority goes before it.
@@ -48,17 +48,19 @@
 /// Decides on a job whose longest chain of tasks runs for \p Chain. \p Spread,
 /// a number of the job, keeps callers that are refused together from coming
 /// back together.
-Admission admit(const Usefulness &Of, Duration Chain, const Waits &Forecast,
-                std::size_t Spread, Time Now);
+Admission admit(const AnswerDeadlines &Deadlines, Duration Chain,
+                const WaitForecast &Forecast, std::size_t Spread, Time Now);
 
 /// When a caller that is told now that the backlog takes \p Wait to drain comes
 /// back best; \p Spread as above.
 Duration retryAfter(Duration Wait, std::size_t Spread);
 
 /// Whether a job that starts now can still end in time.
-bool canBeInTime(const Usefulness &Of, Duration Chain, Time Now);
+bool canMeetSoftDeadline(const AnswerDeadlines &Deadlines, Duration Chain,
+                         Time Now);
 /// Whether a job that starts now can still end while its answer is of use.
-bool canBeOfUse(const Usefulness &Of, Duration Chain, Time Now);
+bool canMeetHardDeadline(const AnswerDeadlines &Deadlines, Duration Chain,
+                         Time Now);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/arrivals.cpp
+++ b/src/scheduling/arrivals.cpp
@@ -15,30 +15,31 @@
 
 /// Bursts come within a second and last some seconds: a mean over a second
 /// follows them and still holds a hundred jobs at a hundred a second.
-constexpr Duration Memory = std::chrono::seconds(1);
+constexpr Duration TimeConstant = std::chrono::seconds(1);
 
-double decay(const Arrivals &Seen, Time Now) {
-  auto Passed = static_cast<double>((Now - Seen.At).count());
-  return std::exp(-Passed / static_cast<double>(Memory.count()));
+double decay(const Arrivals &Load, Time Now) {
+  auto Passed = static_cast<double>((Now - Load.DecayedAt).count());
+  return std::exp(-Passed / static_cast<double>(TimeConstant.count()));
 }
 
 } // namespace
 
-void noteArrival(Arrivals &Seen, std::uint32_t Priority, CoreTime Work,
+void noteArrival(Arrivals &Load, std::uint32_t Priority, CoreTime Work,
                  Time Now) {
-  double Left = decay(Seen, Now);
-  for (CoreTime &Each : Seen.Recent)
-    Each.Value *= Left;
-  Seen.At = Now;
-  Seen.Recent[classOf(Priority)] += Work;
+  double Factor = decay(Load, Now);
+  for (CoreTime &Each : Load.Recent)
+    Each.Value *= Factor;
+  Load.DecayedAt = Now;
+  Load.Recent[classOf(Priority)] += Work;
 }
 
-double busyWithUrgent(const Arrivals &Seen, std::uint32_t Priority, Time Now) {
+double urgentLoad(const Arrivals &Load, std::uint32_t Priority, Time Now) {
   CoreTime Sum;
   std::size_t Before = std::min<std::size_t>(Priority, PriorityClasses);
   for (std::size_t Class = 0; Class < Before; ++Class)
-    Sum += Seen.Recent[Class];
-  return Sum.Value * decay(Seen, Now) / static_cast<double>(Memory.count());
+    Sum += Load.Recent[Class];
+  return Sum.Value * decay(Load, Now) /
+         static_cast<double>(TimeConstant.count());
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/arrivals.h
+++ b/src/scheduling/arrivals.h
@@ -26,16 +26,16 @@
 struct Arrivals {
   /// Taken work by class, each part decayed since it came.
   std::array<CoreTime, PriorityClasses> Recent{};
-  Time At{};
+  Time DecayedAt{};
 };
 
 /// Notes that work was taken.
-void noteArrival(Arrivals &Seen, std::uint32_t Priority, CoreTime Work,
+void noteArrival(Arrivals &Load, std::uint32_t Priority, CoreTime Work,
                  Time Now);
 
 /// The thousandths of a core that arrivals before \p Priority keep busy. Before
 /// the last class and one more, that is all of them.
-double busyWithUrgent(const Arrivals &Seen, std::uint32_t Priority, Time Now);
+double urgentLoad(const Arrivals &Load, std::uint32_t Priority, Time Now);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/askpace.cpp
+++ b/src/scheduling/askpace.cpp
@@ -10,21 +10,21 @@
 
 namespace geraniumbay::scheduling {
 
-Duration askPause(std::size_t Entries) {
+Duration pollInterval(std::size_t Entries) {
   constexpr Duration Second = std::chrono::seconds(1);
-  Duration Even = Second * Entries / QuestionsPerSecond;
-  return std::clamp(Even, ShortestAskPause, LongestAskPause);
+  Duration Even = Second * Entries / MaxPollsPerSecond;
+  return std::clamp(Even, MinPollInterval, MaxPollInterval);
 }
 
-Duration urgentPause(Duration Told, std::size_t Unanswered) {
+Duration urgentPollInterval(Duration UsualInterval, std::size_t Unanswered) {
   constexpr Duration First = std::chrono::milliseconds(100);
   constexpr std::size_t MostDoublings = 3;
   constexpr int UrgentShare = 3;
   Duration Backoff = First * (1U << std::min(Unanswered, MostDoublings));
-  return std::max(Backoff, Told / UrgentShare);
+  return std::max(Backoff, UsualInterval / UrgentShare);
 }
 
-Duration answerPatience(std::size_t Unanswered) {
+Duration replyTimeout(std::size_t Unanswered) {
   constexpr Duration First = std::chrono::milliseconds(400);
   constexpr std::size_t MostDoublings = 2;
   return First * (1U << std::min(Unanswered, MostDoublings));
--- a/src/scheduling/askpace.h
+++ b/src/scheduling/askpace.h
@@ -24,23 +24,23 @@
 
 /// The pause of a small group. A worker that drains must get no work two
 /// seconds after that was acknowledged.
-constexpr Duration ShortestAskPause = std::chrono::milliseconds(300);
+constexpr Duration MinPollInterval = std::chrono::milliseconds(300);
 /// What an entry must hear within two seconds still reaches it with one
 /// question lost.
-constexpr Duration LongestAskPause = std::chrono::milliseconds(800);
+constexpr Duration MaxPollInterval = std::chrono::milliseconds(800);
 /// At a quarter of a millisecond each a tenth of a core.
-constexpr std::size_t QuestionsPerSecond = 400;
+constexpr std::size_t MaxPollsPerSecond = 400;
 
 /// How long each of \p Entries waits before it asks again.
-Duration askPause(std::size_t Entries);
+Duration pollInterval(std::size_t Entries);
 
 /// The pause of an entry that needs an answer now. \p Told: its usual pause;
 /// \p Unanswered: its last questions in a row that the leader did not answer.
-Duration urgentPause(Duration Told, std::size_t Unanswered);
+Duration urgentPollInterval(Duration UsualInterval, std::size_t Unanswered);
 
 /// How long the next question waits for its answer. At first as long as shows
 /// that a leader which is there does not answer.
-Duration answerPatience(std::size_t Unanswered);
+Duration replyTimeout(std::size_t Unanswered);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/calltiming.cpp
+++ b/src/scheduling/calltiming.cpp
@@ -9,27 +9,27 @@
 namespace {
 
 /// A long latency is forgotten within some tens of orders.
-constexpr int ForgottenPart = 16;
+constexpr int LatencyDecayDivisor = 16;
 /// An order may take this many times as long as the one before.
 constexpr int Headroom = 2;
 /// After a lost answer others are expected to get lost for so long.
-constexpr Duration LossLasts = std::chrono::seconds(5);
+constexpr Duration LossWindow = std::chrono::seconds(5);
 
 } // namespace
 
-void noteAnswered(CallTiming &Known, Duration Took) {
-  Known.Latency = std::max(Took, Known.Latency - Known.Latency / ForgottenPart);
+void noteAnswered(CallTiming &Timing, Duration Latency) {
+  Timing.Latency =
+      std::max(Latency, Timing.Latency - Timing.Latency / LatencyDecayDivisor);
 }
 
-void noteAnswerLost(CallTiming &Known, Time Now) { Known.LostAt = Now; }
+void noteAnswerLost(CallTiming &Timing, Time Now) { Timing.LostAt = Now; }
 
-bool losesAnswers(const CallTiming &Known, Time Now) {
-  return Known.LostAt && Now - *Known.LostAt < LossLasts;
+bool losesAnswers(const CallTiming &Timing, Time Now) {
+  return Timing.LostAt && Now - *Timing.LostAt < LossWindow;
 }
 
-Duration orderValidity(const CallTiming &Known, Duration Least,
-                       Duration Longest) {
-  return std::clamp(Known.Latency * Headroom, Least, Longest);
+Duration orderValidity(const CallTiming &Timing, Duration Min, Duration Max) {
+  return std::clamp(Timing.Latency * Headroom, Min, Max);
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/calltiming.h
+++ b/src/scheduling/calltiming.h
@@ -29,15 +29,14 @@
 };
 
 /// Notes an order that was answered after \p Took.
-void noteAnswered(CallTiming &Known, Duration Took);
+void noteAnswered(CallTiming &Timing, Duration Latency);
 /// Notes that a call got no answer though its worker has answered a later one.
-void noteAnswerLost(CallTiming &Known, Time Now);
+void noteAnswerLost(CallTiming &Timing, Time Now);
 
 /// Whether answers got lost lately, so that who waits for one asks again soon.
-bool losesAnswers(const CallTiming &Known, Time Now);
+bool losesAnswers(const CallTiming &Timing, Time Now);
 /// How long an order that is sent now is to be valid, within the bounds.
-Duration orderValidity(const CallTiming &Known, Duration Least,
-                       Duration Longest);
+Duration orderValidity(const CallTiming &Timing, Duration Min, Duration Max);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/coretime.h
+++ b/src/scheduling/coretime.h
@@ -26,8 +26,8 @@
 };
 
 /// The work of a task that takes \p Cores for \p Long.
-inline CoreTime workOf(MilliCores Cores, Duration Long) {
-  return {static_cast<double>(Cores) * static_cast<double>(Long.count())};
+inline CoreTime workOf(MilliCores Cores, Duration RunTime) {
+  return {static_cast<double>(Cores) * static_cast<double>(RunTime.count())};
 }
 
 /// How long \p Cores need for \p Work. \p Cores is above 0.
--- a/src/scheduling/durations.h
+++ b/src/scheduling/durations.h
@@ -15,9 +15,9 @@
 namespace geraniumbay::scheduling {
 
 /// How many times \p Other, which counts as a microsecond at least, \p One is.
-inline double ratio(Duration One, Duration Other) {
-  return static_cast<double>(One.count()) /
-         static_cast<double>(std::max(Other, Duration(1)).count());
+inline double ratio(Duration Dividend, Duration Divisor) {
+  return static_cast<double>(Dividend.count()) /
+         static_cast<double>(std::max(Divisor, Duration(1)).count());
 }
 
 inline Duration scaled(Duration Value, double Factor) {
@@ -26,7 +26,7 @@
 }
 
 /// What is left of \p Value after \p Age if half of it goes in \p HalfLife.
-inline double faded(double Value, Duration Age, Duration HalfLife) {
+inline double decayed(double Value, Duration Age, Duration HalfLife) {
   return Value * std::exp2(-ratio(Age, HalfLife));
 }
 
--- a/src/scheduling/forecast.cpp
+++ b/src/scheduling/forecast.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-using Places =
+using SlotQueue =
     std::priority_queue<Duration, std::vector<Duration>, std::greater<>>;
 
 /// Gives the first place that is free to a task of \p Run; returns when.
-Duration startNext(Places &Free, Duration Run) {
+Duration startNext(SlotQueue &Free, Duration Run) {
   Duration At = Free.top();
   Free.pop();
   Free.push(At + Run);
@@ -35,7 +35,7 @@
   FreeAt.insert(FreeAt.end(), Pool.BusyFor.begin(), Pool.BusyFor.end());
   if (FreeAt.empty() || Pool.UrgentShare >= 1)
     return std::nullopt;
-  Places Free(std::greater<>(), std::move(FreeAt));
+  SlotQueue Free(std::greater<>(), std::move(FreeAt));
   for (Duration Run : Pool.Ahead)
     startNext(Free, Run);
   Duration Last{0};
@@ -45,9 +45,9 @@
                                              (1 - Pool.UrgentShare)));
 }
 
-Duration remaining(Duration Expected, Duration Age) {
-  constexpr int PartOverTime = 8;
-  return std::max(Expected - Age, Expected / PartOverTime);
+Duration remainingRunTime(Duration Expected, Duration Age) {
+  constexpr int OverrunDivisor = 8;
+  return std::max(Expected - Age, Expected / OverrunDivisor);
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/forecast.h
+++ b/src/scheduling/forecast.h
@@ -45,7 +45,7 @@
 /// How long a task that has run for \p Age, and was expected to take
 /// \p Expected, still takes. One that is over its time is expected to go on for
 /// a part of it.
-Duration remaining(Duration Expected, Duration Age);
+Duration remainingRunTime(Duration Expected, Duration Age);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/forecastskill.cpp
+++ b/src/scheduling/forecastskill.cpp
@@ -19,28 +19,29 @@
 /// second that is a tenth of a second.
 constexpr double Weight = 0.1;
 /// One job says no more than this factor.
-constexpr double MostLog = 1.5;
+constexpr double MaxLogError = 1.5;
 /// Added to both sides: waits of some milliseconds say nothing.
-constexpr Duration Ground = std::chrono::milliseconds(20);
+constexpr Duration NoiseFloor = std::chrono::milliseconds(20);
 /// After this time without a job half of the correction has faded.
 constexpr Duration HalfLife = std::chrono::seconds(1);
 
 double errorNow(const ForecastSkill &Skill, Time Now) {
-  return faded(Skill.LogError, Now - Skill.LearnedAt, HalfLife);
+  return decayed(Skill.LogError, Now - Skill.LearnedAt, HalfLife);
 }
 
 } // namespace
 
 void learnForecast(ForecastSkill &Skill, Duration Forecast, Duration Waited,
                    Time Now) {
-  double Log = std::log(ratio(Waited + Ground, Forecast + Ground));
-  double Known = errorNow(Skill, Now);
+  double Log = std::log(ratio(Waited + NoiseFloor, Forecast + NoiseFloor));
+  double Current = errorNow(Skill, Now);
   Skill.LogError =
-      Known + (std::clamp(Log, -MostLog, MostLog) - Known) * Weight;
+      Current + (std::clamp(Log, -MaxLogError, MaxLogError) - Current) * Weight;
   Skill.LearnedAt = Now;
 }
 
-Duration corrected(const ForecastSkill &Skill, Duration Forecast, Time Now) {
+Duration correctedForecast(const ForecastSkill &Skill, Duration Forecast,
+                           Time Now) {
   return scaled(Forecast, std::exp(std::max(errorNow(Skill, Now), 0.0)));
 }
 
--- a/src/scheduling/forecastskill.h
+++ b/src/scheduling/forecastskill.h
@@ -27,7 +27,8 @@
 
 /// The forecast as it should have been. Never shorter: that jobs waited less is
 /// no reason to take more of them than fit.
-Duration corrected(const ForecastSkill &Skill, Duration Forecast, Time Now);
+Duration correctedForecast(const ForecastSkill &Skill, Duration Forecast,
+                           Time Now);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/poolsize.cpp
+++ b/src/scheduling/poolsize.cpp
@@ -25,8 +25,8 @@
   for (const auto &[Rack, Workers] : Racks)
     Result.emplace_back(Workers, Rack);
   std::stable_sort(Result.begin(), Result.end(),
-                   [](const auto &One, const auto &Other) {
-                     return One.first > Other.first;
+                   [](const auto &Left, const auto &Right) {
+                     return Left.first > Right.first;
                    });
   return Result;
 }
@@ -43,12 +43,13 @@
   std::vector<Group> Groups(std::clamp<std::size_t>(
       Wanted, 1, std::max<std::size_t>(Racks.size(), 1)));
   for (const auto &[Count, Rack] : largestFirst(Racks)) {
-    Group &Least = *std::min_element(Groups.begin(), Groups.end(),
-                                     [](const Group &One, const Group &Other) {
-                                       return One.Workers < Other.Workers;
-                                     });
-    Least.Workers += Count;
-    Least.Racks.push_back(Rack);
+    Group &Smallest =
+        *std::min_element(Groups.begin(), Groups.end(),
+                          [](const Group &Left, const Group &Right) {
+                            return Left.Workers < Right.Workers;
+                          });
+    Smallest.Workers += Count;
+    Smallest.Racks.push_back(Rack);
   }
   std::map<std::string, std::string> Result;
   for (const Group &Each : Groups)
--- a/src/scheduling/poolsize.h
+++ b/src/scheduling/poolsize.h
@@ -19,7 +19,7 @@
 
 /// The workers of a pool that its owner serves within an eighth of a core, with
 /// room for a burst: some 300 starts a second.
-constexpr std::size_t WorkersOfAPool = 40;
+constexpr std::size_t TargetWorkersPerPool = 40;
 
 /// Joins the racks of a data centre, given with their numbers of workers, into
 /// groups of about \p Target workers and of even size. Returns the group of
--- a/src/scheduling/steadyload.cpp
+++ b/src/scheduling/steadyload.cpp
@@ -10,26 +10,26 @@
 
 namespace geraniumbay::scheduling {
 
-void observe(SteadyValue &Value, double Seen, Time Now) {
-  if (!Value.SeenAt) {
-    Value.Smoothed = Seen;
-    Value.SeenAt = Now;
+void observe(SmoothedValue &Value, double Sample, Time Now) {
+  if (!Value.SampledAt) {
+    Value.Smoothed = Sample;
+    Value.SampledAt = Now;
     return;
   }
-  double Passed = static_cast<double>((Now - *Value.SeenAt).count()) /
+  double Passed = static_cast<double>((Now - *Value.SampledAt).count()) /
                   static_cast<double>(SmoothingTime.count());
-  Value.Smoothed += (Seen - Value.Smoothed) * (1 - std::exp(-Passed));
-  Value.SeenAt = Now;
+  Value.Smoothed += (Sample - Value.Smoothed) * (1 - std::exp(-Passed));
+  Value.SampledAt = Now;
 }
 
-double tell(SteadyValue &Value, double Step) {
+double valueToReport(SmoothedValue &Value, double Step) {
   constexpr double NearZero = 0.25;
   bool AtZero = Value.Smoothed < Step * NearZero;
   if (AtZero)
-    Value.Told = 0;
-  else if (std::abs(Value.Smoothed - Value.Told) >= Step)
-    Value.Told = Value.Smoothed;
-  return Value.Told;
+    Value.Reported = 0;
+  else if (std::abs(Value.Smoothed - Value.Reported) >= Step)
+    Value.Reported = Value.Smoothed;
+  return Value.Reported;
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/steadyload.h
+++ b/src/scheduling/steadyload.h
@@ -18,22 +18,22 @@
 namespace geraniumbay::scheduling {
 
 /// One figure that is told to many, in any unit.
-struct SteadyValue {
+struct SmoothedValue {
   double Smoothed = 0;
-  std::optional<Time> SeenAt;
+  std::optional<Time> SampledAt;
   /// What was told last.
-  double Told = 0;
+  double Reported = 0;
 };
 
 /// The time in which a steady change is told by two thirds.
 constexpr Duration SmoothingTime = std::chrono::milliseconds(400);
 
 /// Takes what is seen now.
-void observe(SteadyValue &Value, double Seen, Time Now);
+void observe(SmoothedValue &Value, double Sample, Time Now);
 
 /// Returns what is to be told: the value told last, unless the smoothed one has
 /// moved away from it by \p Step or is back at zero.
-double tell(SteadyValue &Value, double Step);
+double valueToReport(SmoothedValue &Value, double Step);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/suspicion.cpp
+++ b/src/scheduling/suspicion.cpp
@@ -10,19 +10,19 @@
 
 /// Crashes after which a task that was alone in the last one is guilty, and one
 /// that may not have been the cause of any.
-constexpr std::uint32_t CrashesAlone = 2;
-constexpr std::uint32_t MostCrashes = 3;
+constexpr std::uint32_t QuarantineCrashesAlone = 2;
+constexpr std::uint32_t QuarantineCrashes = 3;
 /// The same for losses that may have been no crashes.
-constexpr std::uint32_t LossesAlone = 3;
+constexpr std::uint32_t QuarantineLossesAlone = 3;
 /// Losses without a sign of a crash after which a task is suspected.
-constexpr std::uint32_t SilentLosses = 2;
+constexpr std::uint32_t SuspectSilentLosses = 2;
 /// Of so many workers one may run suspects.
-constexpr std::size_t WorkersForOne = 6;
+constexpr std::size_t WorkersPerSuspectHost = 6;
 
 } // namespace
 
-const char *workerLossName(WorkerLoss How) {
-  switch (How) {
+const char *workerLossName(WorkerLoss Loss) {
+  switch (Loss) {
   case WorkerLoss::Crashed:
     return "crashed";
   case WorkerLoss::Refused:
@@ -33,26 +33,26 @@
   return "silent";
 }
 
-void noteLoss(Suspicion &Of, WorkerLoss How, bool Alone) {
-  ++Of.Losses;
-  if (How == WorkerLoss::Crashed)
-    ++Of.Crashes;
-  Of.Suspected =
-      Of.Suspected || How != WorkerLoss::Silent || Of.Losses >= SilentLosses;
-  Of.Guilty =
-      Of.Guilty || Of.Crashes >= MostCrashes ||
-      (Alone && (Of.Crashes >= CrashesAlone || Of.Losses >= LossesAlone));
+void noteLoss(Suspicion &Task, WorkerLoss Loss, bool Alone) {
+  ++Task.Losses;
+  if (Loss == WorkerLoss::Crashed)
+    ++Task.Crashes;
+  Task.Suspected = Task.Suspected || Loss != WorkerLoss::Silent ||
+                   Task.Losses >= SuspectSilentLosses;
+  Task.Quarantined = Task.Quarantined || Task.Crashes >= QuarantineCrashes ||
+                     (Alone && (Task.Crashes >= QuarantineCrashesAlone ||
+                                Task.Losses >= QuarantineLossesAlone));
 }
 
 void merge(Suspicion &Into, const Suspicion &Other) {
   Into.Crashes = std::max(Into.Crashes, Other.Crashes);
   Into.Losses = std::max(Into.Losses, Other.Losses);
   Into.Suspected = Into.Suspected || Other.Suspected;
-  Into.Guilty = Into.Guilty || Other.Guilty;
+  Into.Quarantined = Into.Quarantined || Other.Quarantined;
 }
 
-std::size_t mostWorkersOfSuspects(std::size_t Workers) {
-  return std::max<std::size_t>(1, Workers / WorkersForOne);
+std::size_t maxWorkersForSuspects(std::size_t Workers) {
+  return std::max<std::size_t>(1, Workers / WorkersPerSuspectHost);
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/suspicion.h
+++ b/src/scheduling/suspicion.h
@@ -28,7 +28,7 @@
 };
 
 /// Stable name of \p How for logs.
-const char *workerLossName(WorkerLoss How);
+const char *workerLossName(WorkerLoss Loss);
 
 /// What speaks against one task.
 struct Suspicion {
@@ -40,20 +40,20 @@
   /// It runs alone until it ends well.
   bool Suspected = false;
   /// It is started no more.
-  bool Guilty = false;
+  bool Quarantined = false;
 
   bool operator==(const Suspicion &) const = default;
 };
 
 /// Notes that a worker was lost under the task; \p Alone: nothing else ran
 /// there.
-void noteLoss(Suspicion &Of, WorkerLoss How, bool Alone);
+void noteLoss(Suspicion &Task, WorkerLoss Loss, bool Alone);
 
 /// Joins what two schedulers have seen of one task.
 void merge(Suspicion &Into, const Suspicion &Other);
 
 /// How many of \p Workers may run suspects at a time.
-std::size_t mostWorkersOfSuspects(std::size_t Workers);
+std::size_t maxWorkersForSuspects(std::size_t Workers);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/tests/admissiontest.cpp
+++ b/src/scheduling/tests/admissiontest.cpp
@@ -24,25 +24,26 @@
 const Time Now{100s};
 const Objective Usual{1.6, 60ms};
 
-Usefulness sentNow(Duration Chain) {
-  return usefulnessOf(Usual, Chain, Now, Now + 1500ms);
+AnswerDeadlines sentNow(Duration Chain) {
+  return answerDeadlines(Usual, Chain, Now, Now + 1500ms);
 }
 
 TEST(UsefulnessTest, AnAnswerIsInTimeThenLateThenOfNoUse) {
-  Usefulness Of = usefulnessOf(Usual, 200ms, Now, Now + 5s);
-  EXPECT_EQ(Of.InTimeUntil, Now + 380ms);
-  EXPECT_EQ(Of.OfUseUntil, Now + 1140ms);
+  AnswerDeadlines Deadlines = answerDeadlines(Usual, 200ms, Now, Now + 5s);
+  EXPECT_EQ(Deadlines.SoftDeadline, Now + 380ms);
+  EXPECT_EQ(Deadlines.HardDeadline, Now + 1140ms);
 }
 
 TEST(UsefulnessTest, NothingIsOfUseAfterTheCallerHasGone) {
-  Usefulness Of = usefulnessOf(Usual, 900ms, Now, Now + 1480ms);
-  EXPECT_EQ(Of.InTimeUntil, Now + 1480ms);
-  EXPECT_EQ(Of.OfUseUntil, Now + 1480ms);
+  AnswerDeadlines Deadlines = answerDeadlines(Usual, 900ms, Now, Now + 1480ms);
+  EXPECT_EQ(Deadlines.SoftDeadline, Now + 1480ms);
+  EXPECT_EQ(Deadlines.HardDeadline, Now + 1480ms);
 }
 
 TEST(UsefulnessTest, WithoutAnObjectiveTheCallersTimeCounts) {
-  Usefulness Of = usefulnessOf(Objective(), 200ms, Now, Now + 1s);
-  EXPECT_EQ(Of.InTimeUntil, Now + 1s);
+  AnswerDeadlines Deadlines =
+      answerDeadlines(Objective(), 200ms, Now, Now + 1s);
+  EXPECT_EQ(Deadlines.SoftDeadline, Now + 1s);
 }
 
 TEST(ForecastTest, AFreePlaceIsTakenAtOnce) {
@@ -70,42 +71,42 @@
 
 TEST(AdmissionTest, WhatCanEndInTimeIsTaken) {
   // Of 380 ms, 200 are its own: 180 to wait.
-  EXPECT_EQ(admit(sentNow(200ms), 200ms, {180ms, {}}, 0, Now).What,
+  EXPECT_EQ(admit(sentNow(200ms), 200ms, {180ms, {}}, 0, Now).Result,
             Verdict::InTime);
-  EXPECT_EQ(admit(sentNow(200ms), 200ms, {181ms, {}}, 0, Now).What,
+  EXPECT_EQ(admit(sentNow(200ms), 200ms, {181ms, {}}, 0, Now).Result,
             Verdict::Refused);
 }
 
 TEST(AdmissionTest, WhatCanOnlyBeLateIsServedWhereThePoolKeepsUp) {
   // Of 1140 ms, 200 are its own: 940 to wait behind all that is in time.
-  EXPECT_EQ(admit(sentNow(200ms), 200ms, {181ms, 940ms}, 0, Now).What,
+  EXPECT_EQ(admit(sentNow(200ms), 200ms, {181ms, 940ms}, 0, Now).Result,
             Verdict::Late);
-  EXPECT_EQ(admit(sentNow(200ms), 200ms, {181ms, 941ms}, 0, Now).What,
+  EXPECT_EQ(admit(sentNow(200ms), 200ms, {181ms, 941ms}, 0, Now).Result,
             Verdict::Refused);
 }
 
 TEST(AdmissionTest, NothingIsRefusedWhileThereIsRoom) {
-  Usefulness Past = usefulnessOf(Usual, 200ms, Now - 1s, Now + 100ms);
-  EXPECT_EQ(admit(Past, 200ms, {Duration(0), {}}, 0, Now).What,
+  AnswerDeadlines Past = answerDeadlines(Usual, 200ms, Now - 1s, Now + 100ms);
+  EXPECT_EQ(admit(Past, 200ms, {Duration(0), {}}, 0, Now).Result,
             Verdict::InTime);
 }
 
 TEST(AdmissionTest,
      CallersAreToldWhenTheBacklogWillHaveGoneAndDoNotReturnAsOne) {
-  std::set<Duration> Told;
+  std::set<Duration> RetryTimes;
   for (std::size_t Job = 0; Job < 8; ++Job) {
     Admission Refused = admit(sentNow(200ms), 200ms, {1180ms, {}}, Job, Now);
-    ASSERT_EQ(Refused.What, Verdict::Refused);
+    ASSERT_EQ(Refused.Result, Verdict::Refused);
     EXPECT_GE(Refused.RetryAfter, 1s);
     EXPECT_LE(Refused.RetryAfter, 2s);
-    Told.insert(Refused.RetryAfter);
+    RetryTimes.insert(Refused.RetryAfter);
   }
-  EXPECT_EQ(Told.size(), 8U);
+  EXPECT_EQ(RetryTimes.size(), 8U);
 }
 
 TEST(AdmissionTest, WithoutAnEndInSightCallersStayAwayForLonger) {
-  Admission Refused = admit(sentNow(60ms), 60ms, Waits(), 0, Now);
-  EXPECT_EQ(Refused.What, Verdict::Refused);
+  Admission Refused = admit(sentNow(60ms), 60ms, WaitForecast(), 0, Now);
+  EXPECT_EQ(Refused.Result, Verdict::Refused);
   EXPECT_GE(Refused.RetryAfter, 4s);
 }
 
@@ -115,10 +116,10 @@
     noteArrival(Seen, 1, workOf(1000, 100ms), Now + I * 10ms);
   Time Then = Now + 500 * 10ms;
   // A hundred jobs a second, each a tenth of a core second.
-  EXPECT_NEAR(busyWithUrgent(Seen, 2, Then), 10'000, 200);
-  EXPECT_NEAR(busyWithUrgent(Seen, 7, Then), 10'000, 200);
-  EXPECT_EQ(busyWithUrgent(Seen, 1, Then), 0);
-  EXPECT_LT(busyWithUrgent(Seen, 2, Then + 5s), 200);
+  EXPECT_NEAR(urgentLoad(Seen, 2, Then), 10'000, 200);
+  EXPECT_NEAR(urgentLoad(Seen, 7, Then), 10'000, 200);
+  EXPECT_EQ(urgentLoad(Seen, 1, Then), 0);
+  EXPECT_LT(urgentLoad(Seen, 2, Then + 5s), 200);
 }
 
 RC_GTEST_PROP(ForecastProperties, MoreAheadNeverMakesTheWaitShorter, ()) {
--- a/src/scheduling/tests/askpacetest.cpp
+++ b/src/scheduling/tests/askpacetest.cpp
@@ -9,36 +9,38 @@
 
 TEST(AskPaceTest, SmallGroupsAskAtTheShortestPause) {
   for (std::size_t Entries : {0, 1, 7, 28, 120})
-    EXPECT_EQ(askPause(Entries), ShortestAskPause);
+    EXPECT_EQ(pollInterval(Entries), MinPollInterval);
 }
 
 TEST(AskPaceTest, HundredsOfEntriesShareTheLeadersRate) {
   for (std::size_t Entries : {147, 270, 320}) {
-    Duration Pause = askPause(Entries);
+    Duration Pause = pollInterval(Entries);
     double Rate =
         static_cast<double>(Entries) * 1e6 / static_cast<double>(Pause.count());
-    EXPECT_LE(Rate, QuestionsPerSecond + 1);
-    EXPECT_LT(Pause, LongestAskPause + Duration(1));
+    EXPECT_LE(Rate, MaxPollsPerSecond + 1);
+    EXPECT_LT(Pause, MaxPollInterval + Duration(1));
   }
 }
 
 TEST(AskPaceTest, NewsIsNeverOlderThanTheLongestPause) {
-  EXPECT_EQ(askPause(5000), LongestAskPause);
+  EXPECT_EQ(pollInterval(5000), MaxPollInterval);
 }
 
 TEST(AskPaceTest, WhoIsNotAnsweredWaitsLongerAndAsksLessOften) {
   for (std::size_t Unanswered = 0; Unanswered < 5; ++Unanswered) {
-    EXPECT_LE(answerPatience(Unanswered), answerPatience(Unanswered + 1));
-    EXPECT_LE(urgentPause(ShortestAskPause, Unanswered),
-              urgentPause(ShortestAskPause, Unanswered + 1));
+    EXPECT_LE(replyTimeout(Unanswered), replyTimeout(Unanswered + 1));
+    EXPECT_LE(urgentPollInterval(MinPollInterval, Unanswered),
+              urgentPollInterval(MinPollInterval, Unanswered + 1));
   }
-  EXPECT_GT(answerPatience(1), answerPatience(0));
-  EXPECT_GT(urgentPause(ShortestAskPause, 1), urgentPause(ShortestAskPause, 0));
-  EXPECT_EQ(answerPatience(100), answerPatience(5));
+  EXPECT_GT(replyTimeout(1), replyTimeout(0));
+  EXPECT_GT(urgentPollInterval(MinPollInterval, 1),
+            urgentPollInterval(MinPollInterval, 0));
+  EXPECT_EQ(replyTimeout(100), replyTimeout(5));
 }
 
 TEST(AskPaceTest, UrgentQuestionsOfALargeGroupAreBoundedToo) {
-  EXPECT_GT(urgentPause(LongestAskPause, 0), urgentPause(ShortestAskPause, 0));
+  EXPECT_GT(urgentPollInterval(MaxPollInterval, 0),
+            urgentPollInterval(MinPollInterval, 0));
 }
 
 } // namespace
--- a/src/scheduling/tests/forecastskilltest.cpp
+++ b/src/scheduling/tests/forecastskilltest.cpp
@@ -21,29 +21,29 @@
   ForecastSkill Skill;
   for (int I = 0; I < 20; ++I)
     learnForecast(Skill, 100ms, 220ms, Start + I * 10ms);
-  EXPECT_GT(corrected(Skill, 100ms, Start + 200ms), 160ms);
+  EXPECT_GT(correctedForecast(Skill, 100ms, Start + 200ms), 160ms);
 }
 
 TEST(ForecastSkillTest, AForecastIsNeverShortened) {
   ForecastSkill Skill;
   for (int I = 0; I < 20; ++I)
     learnForecast(Skill, 400ms, 10ms, Start);
-  EXPECT_EQ(corrected(Skill, 100ms, Start), 100ms);
+  EXPECT_EQ(correctedForecast(Skill, 100ms, Start), 100ms);
 }
 
 TEST(ForecastSkillTest, ACorrectionFades) {
   ForecastSkill Skill;
   for (int I = 0; I < 30; ++I)
     learnForecast(Skill, 100ms, 400ms, Start);
-  EXPECT_GT(corrected(Skill, 100ms, Start), 250ms);
-  EXPECT_LT(corrected(Skill, 100ms, Start + 5s), 110ms);
+  EXPECT_GT(correctedForecast(Skill, 100ms, Start), 250ms);
+  EXPECT_LT(correctedForecast(Skill, 100ms, Start + 5s), 110ms);
 }
 
 TEST(ForecastSkillTest, WaitsOfMillisecondsSayNothing) {
   ForecastSkill Skill;
   for (int I = 0; I < 50; ++I)
     learnForecast(Skill, Duration(0), 2ms, Start);
-  EXPECT_LT(corrected(Skill, 100ms, Start), 115ms);
+  EXPECT_LT(correctedForecast(Skill, 100ms, Start), 115ms);
 }
 
 } // namespace
--- a/src/scheduling/tests/poolsizetest.cpp
+++ b/src/scheduling/tests/poolsizetest.cpp
@@ -27,7 +27,7 @@
 
 TEST(PoolSizeTest, SmallRacksAreJoined) {
   for (std::size_t Each : {4, 6, 8, 12, 20}) {
-    auto Sizes = sizesOf(evenRacks(240 / Each, Each), WorkersOfAPool);
+    auto Sizes = sizesOf(evenRacks(240 / Each, Each), TargetWorkersPerPool);
     EXPECT_EQ(Sizes.size(), 6U) << Each;
     for (const auto &[Group, Workers] : Sizes) {
       EXPECT_GE(Workers, 30U) << Each;
@@ -37,17 +37,17 @@
 }
 
 TEST(PoolSizeTest, LargeRacksStayAlone) {
-  EXPECT_EQ(sizesOf(evenRacks(4, 50), WorkersOfAPool).size(), 4U);
+  EXPECT_EQ(sizesOf(evenRacks(4, 50), TargetWorkersPerPool).size(), 4U);
 }
 
 TEST(PoolSizeTest, AGroupBearsTheNameOfItsFirstRack) {
-  auto Groups = groupRacks({{"b", 20}, {"a", 20}}, WorkersOfAPool);
+  auto Groups = groupRacks({{"b", 20}, {"a", 20}}, TargetWorkersPerPool);
   EXPECT_EQ(Groups["a"], "a");
   EXPECT_EQ(Groups["b"], "a");
 }
 
 TEST(PoolSizeTest, NoRacksMakeNoGroups) {
-  EXPECT_TRUE(groupRacks({}, WorkersOfAPool).empty());
+  EXPECT_TRUE(groupRacks({}, TargetWorkersPerPool).empty());
 }
 
 RC_GTEST_PROP(PoolSizeProperties, EachRackHasAGroupThatIsOneOfItsRacks, ()) {
@@ -56,7 +56,7 @@
   Racks All;
   for (std::size_t I = 0; I < Counts.size(); ++I)
     All["r" + std::to_string(I)] = Counts[I];
-  auto Groups = groupRacks(All, WorkersOfAPool);
+  auto Groups = groupRacks(All, TargetWorkersPerPool);
   RC_ASSERT(Groups.size() == All.size());
   for (const auto &[Rack, Group] : Groups)
     RC_ASSERT(Groups.at(Group) == Group);
--- a/src/scheduling/tests/steadyloadtest.cpp
+++ b/src/scheduling/tests/steadyloadtest.cpp
@@ -15,18 +15,18 @@
 constexpr Duration Interval = 300ms;
 
 TEST(SteadyLoadTest, TheFirstValueIsToldAsItIs) {
-  SteadyValue Value;
+  SmoothedValue Value;
   observe(Value, 0.6, Time());
-  EXPECT_DOUBLE_EQ(tell(Value, 0.06), 0.6);
+  EXPECT_DOUBLE_EQ(valueToReport(Value, 0.06), 0.6);
 }
 
 // Forty places of which two thirds are busy, each task shorter than the
 // interval: what is seen each time has nothing to do with the last time.
 TEST(SteadyLoadTest, JumpsAroundTheSameUseAreSeldomTold) {
   Random Rng(7);
-  SteadyValue Value;
+  SmoothedValue Value;
   double Last = -1;
-  int Told = 0;
+  int Reports = 0;
   Time Now{};
   constexpr int Questions = 1000;
   constexpr int Places = 40;
@@ -35,34 +35,34 @@
     for (int Place = 0; Place < Places; ++Place)
       Busy += Rng.below(3) < 2 ? 1 : 0;
     observe(Value, static_cast<double>(Busy) / Places, Now);
-    double Shown = tell(Value, 1.0 / 16);
-    Told += Shown != Last ? 1 : 0;
+    double Shown = valueToReport(Value, 1.0 / 16);
+    Reports += Shown != Last ? 1 : 0;
     Last = Shown;
   }
-  EXPECT_LT(Told, Questions / 5);
+  EXPECT_LT(Reports, Questions / 5);
 }
 
 TEST(SteadyLoadTest, ABurstIsToldWithinTwoQuestions) {
-  SteadyValue Value;
+  SmoothedValue Value;
   Time Now{};
   for (int I = 0; I < 10; ++I, Now += Interval) {
     observe(Value, 0.5, Now);
-    tell(Value, 1.0 / 16);
+    valueToReport(Value, 1.0 / 16);
   }
   observe(Value, 1.0, Now);
-  EXPECT_GT(tell(Value, 1.0 / 16), 0.7);
+  EXPECT_GT(valueToReport(Value, 1.0 / 16), 0.7);
   observe(Value, 1.0, Now + Interval);
-  EXPECT_GT(tell(Value, 1.0 / 16), 0.8);
+  EXPECT_GT(valueToReport(Value, 1.0 / 16), 0.8);
 }
 
 TEST(SteadyLoadTest, AnEmptyPoolIsToldAsEmpty) {
-  SteadyValue Value;
+  SmoothedValue Value;
   Time Now{};
   observe(Value, 0.05, Now);
-  tell(Value, 1.0 / 16);
+  valueToReport(Value, 1.0 / 16);
   for (int I = 0; I < 10; ++I, Now += Interval)
     observe(Value, 0, Now);
-  EXPECT_DOUBLE_EQ(tell(Value, 1.0 / 16), 0);
+  EXPECT_DOUBLE_EQ(valueToReport(Value, 1.0 / 16), 0);
 }
 
 } // namespace
--- a/src/scheduling/tests/suspiciontest.cpp
+++ b/src/scheduling/tests/suspiciontest.cpp
@@ -12,18 +12,18 @@
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Crashed, false);
   EXPECT_TRUE(Task.Suspected);
-  EXPECT_FALSE(Task.Guilty);
+  EXPECT_FALSE(Task.Quarantined);
   noteLoss(Task, WorkerLoss::Crashed, true);
-  EXPECT_TRUE(Task.Guilty);
+  EXPECT_TRUE(Task.Quarantined);
 }
 
 TEST(SuspicionTest, ATaskBesideOthersIsGuiltyAfterThreeCrashesOnly) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Crashed, false);
   noteLoss(Task, WorkerLoss::Crashed, false);
-  EXPECT_FALSE(Task.Guilty);
+  EXPECT_FALSE(Task.Quarantined);
   noteLoss(Task, WorkerLoss::Crashed, false);
-  EXPECT_TRUE(Task.Guilty);
+  EXPECT_TRUE(Task.Quarantined);
 }
 
 // A worker that is cut off says nothing against what runs there; twice is
@@ -34,7 +34,7 @@
   EXPECT_FALSE(Task.Suspected);
   noteLoss(Task, WorkerLoss::Silent, true);
   EXPECT_TRUE(Task.Suspected);
-  EXPECT_FALSE(Task.Guilty);
+  EXPECT_FALSE(Task.Quarantined);
 }
 
 // Whatever was seen, a task is started three times at most while each start
@@ -44,7 +44,7 @@
   Suspicion Task;
   std::size_t Starts = 0;
   for (std::uint8_t Each : Seen) {
-    if (Task.Guilty)
+    if (Task.Quarantined)
       break;
     ++Starts;
     noteLoss(Task, static_cast<WorkerLoss>(Each % 3), Task.Suspected);
@@ -53,8 +53,8 @@
 }
 
 TEST(SuspicionTest, SomeWorkersAreLeftToOtherTasks) {
-  EXPECT_EQ(mostWorkersOfSuspects(3), 1U);
-  EXPECT_EQ(mostWorkersOfSuspects(48), 8U);
+  EXPECT_EQ(maxWorkersForSuspects(3), 1U);
+  EXPECT_EQ(maxWorkersForSuspects(48), 8U);
 }
 
 } // namespace
--- a/src/scheduling/usefulness.cpp
+++ b/src/scheduling/usefulness.cpp
@@ -12,13 +12,13 @@
 
 namespace geraniumbay::scheduling {
 
-Usefulness usefulnessOf(const Objective &Promised, Duration Chain, Time Sent,
-                        Time CallerWaits) {
-  if (!Promised.isSet())
-    return {CallerWaits, CallerWaits};
-  Duration Within = scaled(Chain, Promised.Stretch) + Promised.Target;
-  return {std::min(Sent + Within, CallerWaits),
-          std::min(Sent + Within * LateFactor, CallerWaits)};
+AnswerDeadlines answerDeadlines(const Objective &Goal, Duration Chain,
+                                Time SentAt, Time CallerDeadline) {
+  if (!Goal.isSet())
+    return {CallerDeadline, CallerDeadline};
+  Duration SoftLimit = scaled(Chain, Goal.Stretch) + Goal.Target;
+  return {std::min(SentAt + SoftLimit, CallerDeadline),
+          std::min(SentAt + SoftLimit * LateFactor, CallerDeadline)};
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/usefulness.h
+++ b/src/scheduling/usefulness.h
@@ -30,16 +30,16 @@
 };
 
 /// The moments that an answer's use depends on.
-struct Usefulness {
-  Time InTimeUntil;
-  Time OfUseUntil;
+struct AnswerDeadlines {
+  Time SoftDeadline;
+  Time HardDeadline;
 };
 
 /// Of a job that its caller sent at \p Sent, whose longest chain of work takes
-/// \p Chain, and whose caller waits until \p CallerWaits. Without an objective
-/// only the caller's own limit counts.
-Usefulness usefulnessOf(const Objective &Promised, Duration Chain, Time Sent,
-                        Time CallerWaits);
+/// \p Chain, and whose caller waits until \p CallerDeadline. Without an
+/// objective only the caller's own limit counts.
+AnswerDeadlines answerDeadlines(const Objective &Goal, Duration Chain,
+                                Time SentAt, Time CallerDeadline);
 
 } // namespace geraniumbay::scheduling
 
--- a/src/scheduling/workerpace.cpp
+++ b/src/scheduling/workerpace.cpp
@@ -19,35 +19,37 @@
 /// declared time is off by the usual 40% does not.
 constexpr double Weight = 0.35;
 /// A single task says no more than this, in either direction.
-constexpr double MostLog = 2.0;
+constexpr double MaxLogFactor = 2.0;
 /// After this time without a task half of what was learned has faded: a worker
 /// that turned slow for some seconds gets single tasks again.
 constexpr Duration HalfLife = std::chrono::seconds(2);
 /// A task that runs must have gone this many times over its expected time, and
 /// this much more, to say something: one in a hundred does by chance.
-constexpr double OverTimes = 2.5;
-constexpr Duration OverMargin = std::chrono::milliseconds(40);
+constexpr double OverrunFactor = 2.5;
+constexpr Duration OverrunMargin = std::chrono::milliseconds(40);
 
 } // namespace
 
-void learnPace(WorkerPace &Pace, Duration Expected, Duration Took, Time Now) {
+void learnPace(WorkerPace &Pace, Duration Expected, Duration RunTime,
+               Time Now) {
   if (Expected.count() <= 0)
     return;
-  double Log = std::clamp(std::log(ratio(Took, Expected)), -MostLog, MostLog);
-  double Known = std::log(paceFactor(Pace, Now));
-  Pace.LogFactor = Known + (Log - Known) * Weight;
+  double Log = std::clamp(std::log(ratio(RunTime, Expected)), -MaxLogFactor,
+                          MaxLogFactor);
+  double Current = std::log(paceFactor(Pace, Now));
+  Pace.LogFactor = Current + (Log - Current) * Weight;
   Pace.LearnedAt = Now;
 }
 
 double paceFactor(const WorkerPace &Pace, Time Now) {
-  return std::exp(faded(Pace.LogFactor, Now - Pace.LearnedAt, HalfLife));
+  return std::exp(decayed(Pace.LogFactor, Now - Pace.LearnedAt, HalfLife));
 }
 
 double paceFactorOf(Duration Expected, Duration Age) {
-  if (Expected.count() <= 0 || Age < OverMargin)
+  if (Expected.count() <= 0 || Age < OverrunMargin)
     return 1;
-  double Factor = ratio(Age - OverMargin, Expected);
-  return Factor >= OverTimes ? Factor : 1;
+  double Factor = ratio(Age - OverrunMargin, Expected);
+  return Factor >= OverrunFactor ? Factor : 1;
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/workerpace.h
+++ b/src/scheduling/workerpace.h
@@ -23,7 +23,7 @@
 };
 
 /// Takes a task that took \p Took where \p Expected was expected.
-void learnPace(WorkerPace &Pace, Duration Expected, Duration Took, Time Now);
+void learnPace(WorkerPace &Pace, Duration Expected, Duration RunTime, Time Now);
 
 /// How many times as long as expected tasks take there, as far as is known; 1
 /// if nothing is. What was learned fades.
