--- a/src/jobs/internal/names.cpp
+++ b/src/jobs/internal/names.cpp
@@ -1,6 +1,6 @@
-//===- names.cpp - Names of states and outcomes for logs ------------------===//
+//===- names.cpp - Names of job states and outcomes -----------------------===//
 //
-// Log readers rely on them, so they stay as they are.
+// Log consumers rely on these names; they must not change.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/jobs/internal/workersession.cpp
+++ b/src/jobs/internal/workersession.cpp
@@ -1,6 +1,6 @@
-//===- workersession.cpp - A leader's dealings with one worker ------------===//
+//===- workersession.cpp - Scheduler state of one worker ------------------===//
 //
-// Leases, clocks and the reading of hold answers.
+// Leases, clock estimates and the processing of hold answers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,15 +13,15 @@
 namespace {
 
 constexpr int Percent = 100;
-/// How long a distrusted worker gets nothing; the pause doubles with each task
-/// that fails again, up to 6.4 s. Trouble of workers lasts some seconds.
+/// Initial backoff of a distrusted worker. It doubles with each further
+/// failure, up to 6.4 s. Faults of workers typically last a few seconds.
 constexpr Duration FirstDistrustPause = std::chrono::milliseconds(400);
 constexpr std::uint32_t MaxDoublings = 4;
 
-/// Workers announce themselves every second and a half; the announcement comes
-/// here by way of control.
+/// Workers announce themselves every 1.5 s, and announcements arrive by way of
+/// control.
 constexpr Duration AnnouncedAgainWithin = std::chrono::milliseconds(2500);
-/// A worker answers an order in some milliseconds.
+/// Well above the few milliseconds in which a worker answers an order.
 constexpr Duration UsualAnswer = std::chrono::milliseconds(50);
 
 bool lists(const std::vector<RunningTask> &Running, const TaskId &Task,
--- a/src/jobs/internal/workersession.h
+++ b/src/jobs/internal/workersession.h
@@ -1,14 +1,14 @@
-//===- workersession.h - A leader's dealings with one worker ----*- C++ -*-===//
+//===- workersession.h - Scheduler state of one worker ----------*- C++ -*-===//
 //
-// What a leader believes of one worker: its clock, what runs on it, until when
-// its lease may last. Plain state with free functions that take a message and
-// return what follows from it; the scheduler carries it out.
+// The scheduler's view of one worker: its clock, its runs, and the end of its
+// lease. Plain state with free functions that apply a message and return the
+// consequences; the scheduler acts on them.
 //
-// Why a run is never lost sight of. A start whose answer is missing may be
-// carried out until its lease has passed on the worker's clock. A hold answer
-// from after that moment shows whether it was. A worker that does not answer
-// has killed everything once the last lease that it may have been given is
-// over. Until one of these is known the task stays bound to the worker.
+// A task stays bound to its worker until one of the following rules out that
+// its run exists. A start order without an answer may still be carried out
+// until its lease has expired on the worker's clock; a hold answer from a later
+// moment shows whether it was. A worker that does not answer has killed all its
+// tasks once the last lease that it may have received has expired.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,248 +24,259 @@
 
 namespace geraniumbay::jobs {
 
-/// One start of a task, as the leader knows it.
+/// One start of a task, as the scheduler knows it.
 struct Run {
   RunNumber Number;
   Resources Needs;
-  /// When the leader ordered or found it.
+  /// When the scheduler ordered or discovered it.
   Time Since;
   /// The worker has confirmed it.
   bool Confirmed = false;
-  /// It has been ordered to stop.
+  /// A stop order was sent.
   bool Stopping = false;
-  /// A hold answer from after this moment of the worker's clock that does not
-  /// list the run shows that it does not exist.
+  /// A hold answer from after this moment of the worker's clock lists the run
+  /// if it exists.
   WorkerMillis ListedAfter;
-  /// How long it is expected to run.
+  /// Expected run time.
   Duration Expected{0};
-  /// An earlier owner ordered it, so that its beginning is not known.
+  /// An earlier owner ordered it, so its start time is unknown.
   bool Adopted = false;
-  /// It may crash the worker, so that nothing else is started beside it.
+  /// It may crash the worker, so no other task is started beside it.
   bool Suspected = false;
 };
 
 struct WorkerSession {
   WorkerInfo Info;
-  /// By task. Invariant: Used is the sum of their needs.
+  /// By task. Invariant: Used is the sum of their resources.
   std::unordered_map<TaskId, Run> Runs;
-  /// Of a worker with runs: since when it has had any.
+  /// If there are runs: since when the worker has been busy without
+  /// interruption.
   Time BusySince;
   Resources Used;
 
-  /// The latest moment of the worker's clock that a hold has brought.
+  /// The latest worker clock reported by a hold answer.
   WorkerMillis Clock;
-  /// The moment of its clock from which the present one is estimated, and the
-  /// latest time here at which it was. An estimate from an earlier one might be
-  /// closer, but a worker that stood still since would be taken to be ahead.
+  /// The reading from which the current worker clock is estimated, and the
+  /// local time at which it was received. Only the latest reading is used: an
+  /// older one might give a closer estimate, but if the worker was paused
+  /// since, the estimate would run ahead of its clock.
   WorkerMillis ClockReading;
   Time ClockReadAt;
-  /// It has answered a hold of this leader, so all that runs there is known.
+  /// It has answered a hold of this scheduler, so all of its runs are known.
   bool RunsKnown = false;
-  /// The last hold failed: nothing is started, and no lease renewed, until one
+  /// The last hold failed: no task is started and no lease renewed until a hold
   /// succeeds.
   bool Silent = false;
-  /// Of a silent one: how the last hold failed.
+  /// If silent: how the last hold failed.
   scheduling::WorkerLoss Failure = scheduling::WorkerLoss::Silent;
-  /// Of a silent one: the last pause before it is asked again, and its end.
+  /// If silent: the current retry delay, and the time of the next retry.
   Duration RetryPause{0};
   Time RetryAt;
-  /// No task that this leader knows of can run there after this time, unless
-  /// another lease is given.
+  /// After this time no run known to this scheduler can exist there, unless the
+  /// lease is renewed.
   Time LeaseEnds;
-  /// The worker refused work; it gets none before this time.
+  /// Backoff after refusals or failures: no task is started there before this
+  /// time.
   Time NoStartsUntil;
-  /// It had no room for so much in all, though it announced more. That counts
-  /// until it may have announced its room again.
+  /// Total resources that the worker refused although it had announced more.
+  /// Valid until RefusedUntil, by when it should have announced its capacity
+  /// again.
   std::optional<Resources> Refused;
   Time RefusedUntil;
-  /// Some tasks run there that belong to no job here, so that it has less room
-  /// than is known.
+  /// Tasks of unknown jobs run there, so its free capacity is overestimated.
   bool HasUnknownRuns = false;
-  /// Its data centre is evacuated: what runs there goes on, nothing starts.
+  /// Its data centre is evacuated: its runs continue, but no task is started.
   bool Evacuated = false;
-  /// Control has dropped it, so that the next owner would not look for runs
-  /// there: what runs goes on, nothing starts.
+  /// Control does not list it any more, so the next owner would not look for
+  /// runs there: its runs continue, but no task is started.
   bool Unlisted = false;
-  /// It is kept free until then for a task that must run alone.
+  /// Reserved until then for a task that must run alone.
   Time ReservedUntil;
 
-  /// How long its tasks took against what was expected.
+  /// Ratio of actual to expected run times of its tasks.
   scheduling::WorkerPace Pace;
-  /// First runs of tasks that failed there since one ended well.
+  /// Consecutive failures of tasks that had not failed before; a success resets
+  /// it.
   std::uint32_t ConsecutiveFailures = 0;
-  /// Tasks run there that this owner does not know, and another owner that is
-  /// out of reach may count on their lease to end. So no lease is given, nor
-  /// anything started, before they have gone.
+  /// Tasks unknown to this owner run there. Another owner that is unreachable
+  /// may rely on their lease to expire, so no lease is renewed and no task is
+  /// started until they have ended.
   bool HasForeignRuns = false;
 
   bool HoldInFlight = false;
-  /// Counts the holds; an answer to an earlier one is as good, but only the
-  /// latest is followed by another.
+  /// Sequence number of the latest hold. Answers to earlier ones are still
+  /// applied, but only the answer to the latest triggers the next hold.
   std::uint64_t HoldSerial = 0;
-  /// When the latest hold was sent, and how long the worker may wait with its
+  /// When the latest hold was sent, and how long the worker may delay its
   /// answer.
   Time HoldSent;
   Duration RequestedHoldWait{0};
-  /// The latest hold was sent because the one before it is overdue.
+  /// The latest hold replaced one that was overdue.
   bool HoldResent = false;
-  /// When the hold was sent that renewed the lease last, of those answered.
+  /// Send time of the last answered hold that renewed the lease.
   std::optional<Time> RenewedAt;
-  /// When the latest question was sent that it has answered.
+  /// Send time of the latest hold or query that was answered.
   Time LastAnsweredSentAt;
   /// The highest end that is recorded in the log or needs no record.
   std::uint64_t LastRecordedEnd = 0;
-  /// The highest end that has been taken into a batch.
+  /// The highest end that was added to a batch for the log.
   std::uint64_t LastBatchedEnd = 0;
 };
 
-/// The longest lease that workers grant, and the pace of what renews it. From
-/// the platform's bounds; a lease is renewed well before half of it is over.
+/// Lease durations and hold intervals. They follow from the limits of the
+/// platform; a lease is renewed well before half of it has passed.
 struct LeaseSettings {
   Duration Longest = std::chrono::milliseconds(1000);
   /// A worker's clock may be this much slower than this one (in percent).
   int SlowClockPercent = 2;
-  /// A worker takes this long to kill what has no lease.
+  /// Time that a worker takes to kill tasks whose lease has expired.
   Duration KillTime = std::chrono::milliseconds(50);
-  /// An earlier owner that is cut off gives no lease after this time: by then
-  /// it has noticed (see OwnerSilence in poolview.h).
+  /// An unreachable earlier owner has noticed that it is cut off, and renews no
+  /// lease, after this time (see OwnerSilence in poolview.h).
   Duration EarlierOwner{0};
-  /// How long what the earlier owner left is not stopped, for the entries to
-  /// hand its jobs in again.
+  /// How long runs left by an earlier owner are kept, so that entries can
+  /// submit their jobs again.
   Duration KeepOrphans{0};
-  /// The earlier owner has let go, so that their lease may be renewed too.
+  /// The earlier owner released its ownership, so the leases of its runs may be
+  /// renewed too.
   bool RenewOrphans = false;
-  /// How long a worker waits for an end before it answers a hold.
+  /// How long a worker may wait for the end of a task before it answers a hold.
   Duration HoldWait = std::chrono::milliseconds(200);
-  /// The same where answers get lost: a hold whose answer is lost hides all
-  /// ends until it is repeated.
+  /// The same while answers get lost: a lost hold answer hides all ends until
+  /// the hold is repeated.
   Duration LossyHoldWait = std::chrono::milliseconds(100);
-  /// The same for a worker on which nothing runs. Its next end is heard all the
-  /// same, since it answers when a task ends. Most workers of a large pool are
-  /// idle, and their holds would take most of an owner's processor time.
+  /// The same for an idle worker. Ends are not delayed by it, since the worker
+  /// answers as soon as a task ends. Most workers of a large pool are idle, and
+  /// their holds would take most of an owner's processor time.
   Duration IdleHoldWait = std::chrono::milliseconds(1000);
-  /// A hold that is this much overdue is repeated: ten times a round trip.
+  /// A hold that is overdue by this much, ten times a round trip, is repeated.
   Duration RepeatAfter = std::chrono::milliseconds(30);
-  /// How long an order to start is valid at least. One that gets no answer is
-  /// known to be dead after that, instead of after the lease: a task of 60 ms
-  /// then starts elsewhere in time for an objective of 156 ms.
+  /// Shortest validity of a start order. An unanswered order is known to be
+  /// void after that, rather than after the full lease, so that a task of 60 ms
+  /// can start elsewhere in time for an objective of 156 ms.
   Duration MinOrderValidity = std::chrono::milliseconds(60);
-  /// A lease that was renewed by a hold within this time outlives an order; an
-  /// order to a worker without one carries a whole lease itself.
+  /// A lease renewed by a hold within this time outlives a start order. An
+  /// order to a worker without such a lease carries a full lease itself.
   Duration FreshLease = std::chrono::milliseconds(300);
 };
 
-/// How long after a lease was given everything under it is certainly dead.
+/// Time from granting a lease of \p Length until everything under it is
+/// certainly dead.
 Duration leaseBound(const LeaseSettings &Settings, Duration Length);
 /// The same for the longest lease.
 Duration leaseBound(const LeaseSettings &Settings);
 
-/// The end of a lease of \p Length from now, on the worker's clock. It never
-/// exceeds what the worker grants, since the clock is estimated as early as it
-/// can be.
+/// The end of a lease of \p Length from now, on the worker's clock. The
+/// estimate of that clock is a lower bound, so the lease never exceeds what the
+/// worker grants.
 WorkerMillis leaseUntil(const WorkerSession &Session,
                         const LeaseSettings &Settings, Duration Length,
                         Time Now);
 
-/// Notes that a lease of \p Length is given now.
+/// Records that a lease of \p Length is granted now.
 void noteLease(WorkerSession &Session, const LeaseSettings &Settings,
                Duration Length, Time Now);
 
-/// How long the next order to start is valid; the lease that it carries.
+/// The validity of the next start order, which is also the lease that it
+/// carries.
 Duration orderValidity(const WorkerSession &Session,
                        const LeaseSettings &Settings,
                        const scheduling::CallTiming &Timing, Time Now);
 
-/// Whether the hold under way is overdue and has not been repeated yet.
+/// Whether the hold in flight is overdue and has not been repeated yet.
 bool isHoldOverdue(const WorkerSession &Session, const LeaseSettings &Settings,
                    Time Now);
 
-/// Whether the hold under way was sent while nothing ran there and would come
-/// too late for what runs now.
+/// Whether the hold in flight was sent while the worker was idle and its answer
+/// would come too late for the current runs.
 bool isHoldTooLong(const WorkerSession &Session, const LeaseSettings &Settings,
                    Time Now);
 
-/// How long the worker may wait with the answer to the next hold.
+/// How long the worker may delay its answer to the next hold.
 Duration nextHoldWait(const WorkerSession &Session,
                       const LeaseSettings &Settings,
                       const scheduling::CallTiming &Timing, Time Now);
 
-/// Whether an order to start has got no answer there for longer than a worker
-/// takes. It may be out of reach.
+/// Whether a start order has been unanswered for longer than a worker usually
+/// takes. The worker may be unreachable.
 bool hasUnansweredStart(const WorkerSession &Session, Time Now);
 
-/// Notes a moment of the worker's clock that any answer brought. A start that
-/// is late for the worker brings one too: an answer that has lain unread while
-/// this process stood still sets the estimate back by that time, and all orders
-/// would be late until the next hold.
+/// Applies a reading of the worker's clock from any answer. Refusals of late
+/// starts carry one too: if this process was paused while an answer lay unread,
+/// the estimate lags by that time and every order would be late until the next
+/// hold.
 void noteClockReading(WorkerSession &Session, WorkerMillis ClockReading,
                       Time Now);
-/// The same for an answer to a hold. Returns false if an answer from a later
-/// moment was seen before.
+/// The same for a hold answer. Returns false if an answer with a later reading
+/// was applied before.
 bool noteClock(WorkerSession &Session, WorkerMillis Clock, Time Now);
 
-/// Whether new tasks of \p Service may go to the worker, room or not.
+/// Whether the worker accepts new tasks of \p Service, regardless of free
+/// capacity.
 bool acceptsWorkFor(const WorkerSession &Session, const ServiceId &Service);
 
-/// Whether the worker has room for \p Needs beside what runs there.
+/// Whether the worker has free capacity for \p Needs beside its runs.
 bool hasFreeCapacity(const WorkerSession &Session, const Resources &Needs,
                      Time Now);
-/// Whether the worker carries \p Label; an empty one asks for none.
+/// Whether the worker carries \p Label; always true for an empty one.
 bool carries(const WorkerInfo &Info, const std::string &Label);
-/// Whether the worker would have room for \p Needs if nothing ran there.
+/// Whether the worker could fit \p Needs if it were idle.
 bool isLargeEnough(const WorkerSession &Session, const Resources &Needs);
-/// Notes that the worker had no room for \p Needs beside what runs there.
+/// Records that the worker refused \p Needs beside its runs for lack of
+/// capacity.
 void noteCapacityRefusal(WorkerSession &Session, const Resources &Needs,
                          Time Now);
 
-/// Whether a task may run there with what does: a suspected one only alone.
+/// Whether a task may run beside the current runs: a suspected task must run
+/// alone.
 bool mayRunThere(const WorkerSession &Session, bool Suspected, Time Now);
 bool hostsSuspect(const WorkerSession &Session);
 
 void addRun(WorkerSession &Session, const TaskId &Task, Run Added);
-/// Removes the run if it is there.
+/// Removes the run if it exists.
 void removeRun(WorkerSession &Session, const TaskId &Task);
 
-/// A worker on which so many tasks in a row have failed is distrusted: a worker
-/// that fails all it starts is always free and draws every task. Four in a row
-/// happen by chance once in 600 where a fifth of all tasks cannot be done.
+/// Number of consecutive failures from which a worker is distrusted. A worker
+/// that fails every task is always free and would attract all of them. Where a
+/// fifth of all tasks cannot succeed, four failures in a row happen by chance
+/// once in 600.
 constexpr std::uint32_t DistrustThreshold = 4;
 
-/// Notes how a run ended there. \p FirstTry: the task has not failed before, so
-/// that a task which cannot be done blames one worker only.
+/// Records how a run ended. \p FirstTry: the task has not failed before, so
+/// that a task that cannot succeed counts against one worker only.
 void noteEnd(WorkerSession &Session, bool Succeeded, bool FirstTry, Time Now);
-/// How many times as long as expected a task may take there, by those that have
-/// ended and those that run.
+/// How many times as long as expected a task may take there, from ended and
+/// current runs.
 double paceFactorOf(const WorkerSession &Session, Time Now);
 
-/// Whether the worker may get another task: a distrusted one gets a single task
-/// to show itself after each pause.
+/// Whether the worker may get another task. A distrusted one gets a single
+/// trial task after each backoff.
 bool isTrusted(const WorkerSession &Session);
 
-/// How long a run took.
+/// Actual and expected run time of a run.
 struct RunTiming {
-  /// From its order until it was listed as ended.
+  /// From the start order until its end was reported.
   Duration Elapsed{0};
   Duration Expected{0};
 };
 
-/// What a hold answer shows.
+/// The consequences of a hold answer.
 struct HoldFindings {
-  /// The answer is newer than all before. An answer that was overtaken tells of
-  /// ends only: what it lists as running may have changed since.
+  /// The answer is not older than any applied before. From an older one only
+  /// the ends are used, since its list of running tasks may be outdated.
   bool Current = false;
-  /// Runs of this leader that have ended, with their ends.
+  /// New ends of runs.
   std::vector<EndedTask> Ended;
-  /// Of those that this leader ordered.
+  /// Run times of the ended runs that this scheduler ordered.
   std::unordered_map<TaskId, RunTiming> RunTimings;
-  /// Tasks that run there and that the session did not have.
+  /// Tasks that run there but are not in the session.
   std::vector<RunningTask> Found;
-  /// Runs that turned out not to exist. They have been removed.
+  /// Runs that proved not to exist. They have been removed from the session.
   std::vector<TaskId> Missing;
 };
 
-/// Takes an answer: removes runs that ended or do not exist, confirms those
-/// that run. Ends that were taken before are left out.
+/// Applies a hold answer: removes runs that have ended or do not exist, and
+/// confirms those that run. Ends that were applied before are skipped.
 HoldFindings applyHoldAnswer(WorkerSession &Session, const HoldAnswer &Answer,
                              Time Now);
 
--- a/src/jobs/internal/workerwatch.cpp
+++ b/src/jobs/internal/workerwatch.cpp
@@ -1,7 +1,8 @@
-//===- workerwatch.cpp - Conversations with workers -----------------------===//
+//===- workerwatch.cpp - Holds to workers ---------------------------------===//
 //
-// One hold after the other to each worker: it renews the lease, brings the ends
-// and shows what runs. What becomes of the ends is in endrecords.cpp.
+// Sends one hold after another to each worker. A hold renews the lease,
+// collects the ends of tasks and lists the running ones. Ends are recorded in
+// endrecords.cpp.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,17 +16,17 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// While ends of a worker are on their way into the log it answers each hold at
-/// once with these. It is asked at this pace then, a few times a commit, so
-/// that an end right behind them does not wait for two commits.
+/// While ends of a worker are being written to the log, it answers each hold at
+/// once with the same ends. Holds are sent at this interval meanwhile, a few
+/// times per commit, so that an end that follows does not wait for two commits.
 constexpr Duration RecordingPause = std::chrono::milliseconds(8);
-/// The pause before a worker that did not answer is asked again. It doubles
-/// with each failure: one that is gone for good is forgotten by control after
-/// seconds only, and each question costs a connection.
+/// Delay before the next hold to a worker that did not answer, doubled with
+/// each failure. Control drops a lost worker only after seconds, and each
+/// attempt costs a connection.
 constexpr Duration FirstRetryPause = std::chrono::milliseconds(50);
 constexpr Duration LongestRetryPause = std::chrono::milliseconds(800);
 
-/// How a worker is lost whose hold failed with \p Why.
+/// Classifies the loss of a worker whose hold failed with \p Failure.
 scheduling::WorkerLoss lossOf(const Error &Failure) {
   return Failure.Code == ErrorCode::Timeout ? scheduling::WorkerLoss::Silent
                                             : scheduling::WorkerLoss::Refused;
@@ -79,8 +80,8 @@
   HoldOrder Order;
   Order.Token = Token_;
   Order.LastSeenEnd = Session.LastRecordedEnd;
-  // A lease keeps alive whatever runs there. So none is given before all that
-  // runs there is known, nor to a worker whose silence must come to an end.
+  // A lease keeps all runs of the worker alive. So it is renewed only if all of
+  // them are known, and not for a silent worker, whose lease must expire.
   if (Session.RunsKnown && !Session.Silent && !Session.HasForeignRuns) {
     Order.LeaseUntil = leaseUntil(Session, Lease_, Lease_.Longest, Now);
     Order.Wait = nextHoldWait(Session, Lease_, Timing_, Now);
@@ -163,7 +164,7 @@
   if (!Answer && Answer.error().Code == ErrorCode::Timeout &&
       Session->LastAnsweredSentAt > Order.At)
     scheduling::noteAnswerLost(Timing_, Needs_.Clock.now());
-  // One that was repeated says nothing of the worker by its silence.
+  // The failure of a hold that was repeated says nothing about the worker.
   if (!Answer && !Latest)
     return;
   if (!Answer) {
@@ -185,7 +186,8 @@
         std::max(Session->RenewedAt.value_or(Time()), Order.At);
   if (!Latest)
     return scheduleSoon();
-  // Without a lease the worker answers at once: the tick asks again.
+  // A hold without a lease is answered at once, so the next one is left to the
+  // tick.
   if (Session->LastBatchedEnd == Session->LastRecordedEnd &&
       !Session->HasForeignRuns)
     sendHold(*Session);
@@ -234,7 +236,7 @@
   }
   for (const RunningTask &Task : Findings.Found)
     handleFoundRun(Session, Task, NewlyReachable);
-  // A stop may have been lost on its way.
+  // Repeats stop orders, which may have been lost.
   for (const auto &[Task, Each] : Session.Runs)
     if (Each.Stopping)
       Needs_.Workers.stop({Session.Info.Worker, Session.Info.At},
@@ -250,7 +252,7 @@
   bool Wanted = Record && !Record->Done && Ending_.count(Task.Task) == 0;
   if (Wanted && Places_.count(Task.Task) == 0)
     return adoptRun(Session, Task);
-  // The entry that waits for an unknown job hands it in again.
+  // The entry that waits for an unknown job submits it again.
   bool Kept = NewlyReachable || Orphans_.count(Task.Task) != 0;
   if (!KnownJob && Kept && Needs_.Clock.now() < OrphansUntil_) {
     Orphans_[Task.Task] = {Session.Info.Worker, Task.Run, false};
@@ -283,7 +285,7 @@
   addRun(Session, Task.Task,
          Run{Task.Run, Step.Needs, Now, true, false, Session.Clock,
              expectedRun(TaskJob, Step, Now), true, isSuspected(Task.Task)});
-  // It runs under a lease that an earlier owner gave, perhaps just now.
+  // It runs under a lease that an earlier owner granted, possibly just now.
   noteLease(Session, Lease_, Lease_.Longest, Now);
   Places_[Task.Task] = Session.Info.Worker;
   RunNumber &Last = LastRuns_[Task.Task];
--- a/src/jobs/iworkercalls.h
+++ b/src/jobs/iworkercalls.h
@@ -1,8 +1,8 @@
 //===- iworkercalls.h - Orders to workers -----------------------*- C++ -*-===//
 //
 // How the scheduler starts and stops tasks on workers and renews the lease
-// under which they run. A worker refuses orders with a lower fencing token
-// than it has seen, and kills everything when its lease lapses.
+// under which they run. A worker refuses orders with a lower fencing token than
+// the highest it has seen, and kills all its tasks when its lease expires.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 /// A time on one worker's own steady clock, in milliseconds.
 using WorkerMillis = StrongId<struct WorkerMillisTag, std::int64_t>;
 
-/// Whom an order is for: one incarnation of a worker at an address.
+/// Addressee of an order: one incarnation of a worker at an address.
 struct WorkerTarget {
   WorkerId Worker;
   Endpoint At;
@@ -31,8 +31,8 @@
   TaskId Task;
   RunNumber Run;
   std::string Payload;
-  /// The lease of everything on the worker is extended to here; the order is
-  /// refused if it arrives later.
+  /// The lease of all tasks on the worker is extended to this time; the order
+  /// is refused if it arrives later.
   WorkerMillis LeaseUntil;
   FencingToken Token;
 };
@@ -44,27 +44,27 @@
 };
 
 struct HoldOrder {
-  /// Left out, the order only looks and renews nothing.
+  /// If empty, the hold queries the worker without renewing its lease.
   std::optional<WorkerMillis> LeaseUntil;
   FencingToken Token;
-  /// Ends up to this number are recorded; the worker may forget them.
+  /// Ends up to this number are recorded; the worker may discard them.
   std::uint64_t LastSeenEnd = 0;
-  /// The worker answers when a task ends, or after this time.
+  /// The worker answers when a task ends, or after this time at the latest.
   Duration Wait{0};
 };
 
-/// What is known of a start after its call.
+/// Outcome of a start order.
 enum class StartResult {
-  Started,     ///< It runs, or ran already.
-  Fenced,      ///< The worker obeys a later leader.
-  OutOfOrder,  ///< A run as high has been there: use a higher number.
-  Late,        ///< It arrived after its lease.
+  Started,     ///< It runs, or has run already.
+  Fenced,      ///< The worker accepted a higher fencing token.
+  OutOfOrder,  ///< The run number is not above the last one.
+  Late,        ///< It arrived after its lease had expired.
   NoCapacity,  ///< The worker's admission check refused it.
   Replaced,    ///< Another incarnation of the worker answered.
-  Unhealthy,   ///< The worker refuses work now.
+  Unhealthy,   ///< The worker temporarily refuses work.
   Invalid,     ///< The worker cannot understand the order.
   NotReceived, ///< The order certainly did not reach the worker.
-  Unknown,     ///< No answer: the order may be carried out, also later.
+  Unknown,     ///< No answer: it may be carried out, even later.
 };
 
 /// Stable name of \p Result for logs.
@@ -82,29 +82,31 @@
 };
 
 enum class EndKind {
-  Done,   ///< Ended well.
-  Failed, ///< Failed, which counts against its limit.
-  Other,  ///< Was stopped or killed; does not count.
+  Done,   ///< Succeeded.
+  Failed, ///< Failed; counts towards the failure limit.
+  Other,  ///< Stopped or killed; does not count as a failure.
 };
 
 struct EndedTask {
-  /// Counts the ends of the worker's incarnation.
+  /// Sequence number of the end within the worker's incarnation.
   std::uint64_t Number = 0;
   TaskId Task;
   RunNumber Run;
   EndKind Kind = EndKind::Other;
 };
 
-/// What a worker had at one moment of its clock.
+/// State of a worker at one moment of its clock.
 struct HoldAnswer {
   WorkerMillis Clock;
   std::vector<RunningTask> Running;
   std::vector<EndedTask> Ended;
-  /// Some of what runs could not be read, so that what is not listed may run.
+  /// Some of the running tasks could not be read, so tasks that are not listed
+  /// may run.
   bool Partial = false;
 };
 
-/// Sends orders. Callbacks run once, never before the function returns.
+/// Sends orders to workers. Callbacks run exactly once, never before the call
+/// returns.
 class IWorkerCalls {
 public:
   using StopCallback = std::function<void(std::optional<WorkerMillis>)>;
@@ -113,18 +115,18 @@
 
   virtual void start(const WorkerTarget &To, const StartOrder &Order,
                      std::function<void(StartAnswer)> Done) = 0;
-  /// What came of the run shows in a later hold. \p Done gets the worker's
-  /// clock when it took the order, from when on the run cannot start any more;
-  /// nothing if that is not known.
+  /// The result shows in a later hold answer. \p Done gets the worker's clock
+  /// at the time it accepted the order, after which the run cannot start any
+  /// more; empty if unknown.
   virtual void stop(const WorkerTarget &To, const StopOrder &Order,
                     StopCallback Done) = 0;
   void stop(const WorkerTarget &To, const StopOrder &Order) {
     stop(To, Order, [](std::optional<WorkerMillis> /*At*/) {
-      // It is sent again while the run is still there.
+      // Repeated by the scheduler while the run is still listed.
     });
   }
-  /// NotFound: another incarnation answered. Conflict: a later leader has the
-  /// worker. Anything else: no usable answer.
+  /// NotFound: another incarnation answered. Conflict: the worker accepted a
+  /// higher fencing token. Any other error: no usable answer.
   virtual void hold(const WorkerTarget &To, const HoldOrder &Order,
                     std::function<void(Outcome<HoldAnswer>)> Done) = 0;
 };
--- a/src/jobs/jobtypes.h
+++ b/src/jobs/jobtypes.h
@@ -1,8 +1,8 @@
 //===- jobtypes.h - Jobs, steps and tasks -----------------------*- C++ -*-===//
 //
-// The plain types of jobs that are accepted durably and asked for later. A job
-// has steps; a step has tasks of one kind; a task runs on one worker at a time
-// until it has ended well or has failed too often.
+// Plain types for jobs. A job has steps, a step has tasks of one kind, and a
+// task runs on one worker at a time until it has succeeded or has failed too
+// often. Jobs are stored durably unless they are transient.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,17 +22,19 @@
 
 namespace geraniumbay::jobs {
 
-/// Orders who schedules: workers refuse orders with a lower token than they
-/// have seen.
+/// Ranks schedulers: workers refuse orders with a lower token than the highest
+/// they have seen.
 using FencingToken = StrongId<struct FencingTokenTag, std::uint64_t>;
-/// The id of a job, chosen by the caller. Submitting it again is harmless.
+/// The id of a job, chosen by the caller. Submitting a job again under the same
+/// id has no further effect.
 using JobId = StrongId<struct JobTag, std::string>;
 /// The configured name of a queue.
 using QueueName = StrongId<struct QueueTag, std::string>;
-/// Counts the starts of one task; a worker refuses a lower one.
+/// Counts the starts of one task; a worker refuses a number not above the last
+/// one.
 using RunNumber = StrongId<struct RunTag, std::uint64_t>;
 
-/// What a task takes from its worker while it runs.
+/// Resources that a task occupies on its worker while it runs.
 struct Resources {
   /// Thousandths of a core.
   std::uint32_t CpuMillis = 0;
@@ -46,15 +48,15 @@
 struct StepSpec {
   std::uint32_t Count = 1;
   Resources Needs;
-  /// A rough guess of the caller; zero if it made none.
+  /// Estimated run time given by the caller; zero if none was given.
   Duration Estimate{0};
-  /// Earlier steps whose tasks must all have ended well before.
+  /// Earlier steps whose tasks must all have succeeded first.
   std::vector<std::uint32_t> DependsOn;
   /// A label that the worker must carry; empty for any worker.
   std::string RequiredLabel;
-  /// The label of the rack that holds the data; empty if it does not matter.
+  /// The label of the rack that holds the data; empty for no preference.
   std::string PreferredRack;
-  /// Most tasks of the step on one worker; 0 for any number.
+  /// Maximum number of tasks of the step on one worker; 0 for no limit.
   std::uint32_t MaxPerWorker = 0;
 
   bool operator==(const StepSpec &) const = default;
@@ -62,18 +64,19 @@
 
 /// What a caller submits.
 struct JobSpec {
-  /// Handed to each task's worker as it is.
+  /// Passed unchanged to the worker of each task.
   std::string Payload;
   /// Invariant: never empty; a step depends on earlier ones only.
   std::vector<StepSpec> Steps;
-  /// The job is not stored: its caller waits for the end, and sends it again if
-  /// no answer comes. Then it may run again, though never twice at a time.
+  /// The job is not stored: its caller waits for the result and submits it
+  /// again if no answer arrives. It may then run again, but never twice at a
+  /// time.
   bool Transient = false;
 
   bool operator==(const JobSpec &) const = default;
 };
 
-/// Where a caller submits a job: a host and a path in its name space.
+/// Where callers submit jobs: a host and a path prefix on it.
 struct QueuePlace {
   std::string Host;
   std::string PathPrefix;
@@ -81,13 +84,14 @@
   bool operator==(const QueuePlace &) const = default;
 };
 
-/// What the log knows of one task.
+/// The logged state of one task.
 struct TaskRecord {
   bool Done = false;
   std::uint32_t Failures = 0;
-  /// The highest run whose end is recorded; a lower one is a repetition.
+  /// The highest run whose end is recorded; the end of a lower one is a
+  /// duplicate.
   RunNumber LastEnded;
-  /// Whether it may crash its workers.
+  /// Evidence that it crashes its workers.
   scheduling::Suspicion Suspicion;
 
   bool operator==(const TaskRecord &) const = default;
@@ -98,7 +102,7 @@
 /// Stable name of \p State for logs.
 const char *jobStateName(JobState State);
 
-/// One task of a job that may crash its workers.
+/// A task that is suspected of crashing its workers.
 struct SuspectTask {
   std::uint32_t Step = 0;
   std::uint32_t Index = 0;
@@ -107,35 +111,35 @@
   bool operator==(const SuspectTask &) const = default;
 };
 
-/// What was seen of a job's tasks, kept for when the job is sent again.
+/// Suspect tasks of a job, kept in case the job is submitted again.
 struct RememberedSuspects {
   Time Since;
   std::vector<SuspectTask> Tasks;
 };
 using SuspectsByJob = std::unordered_map<JobId, RememberedSuspects>;
-/// How long it is kept: callers send a job again for some seconds.
+/// How long suspects are remembered: callers resubmit a job for a few seconds.
 constexpr Duration SuspectRetention = std::chrono::seconds(60);
 
-/// A job with all that is durable about it.
+/// A job and its durable state.
 struct Job {
   JobId Id;
   QueuePlace Place;
   QueueName Queue;
   ServiceId Service;
-  /// 0 goes first.
+  /// 0 is the most urgent.
   std::uint32_t Priority = 0;
-  /// A task that has failed this often fails the job.
+  /// Number of failures of one task that fails the job.
   std::uint32_t MaxFailures = 1;
-  /// Of a transient job: what its queue promises.
+  /// For a transient job: the objective of its queue.
   scheduling::Objective Promised;
-  /// What schedulers before have seen of its tasks.
+  /// Suspect tasks reported by earlier schedulers.
   std::vector<SuspectTask> Suspects;
   /// The token of the scheduler that accepted it.
   FencingToken AcceptedUnder;
   JobSpec Spec;
   JobState State = JobState::Active;
-  /// By step and index. Invariant: as the counts of Spec; empty once the job
-  /// is not active.
+  /// By step and index. Invariant: sized as in Spec while the job is active,
+  /// empty afterwards.
   std::vector<std::vector<TaskRecord>> Tasks;
 
   bool operator==(const Job &) const = default;
@@ -155,33 +159,33 @@
 struct TaskEnd {
   TaskId Task;
   RunNumber Run;
-  /// Whether the task ended well; else it counts as a failure.
+  /// False counts as a failure.
   bool Succeeded = false;
 
   bool operator==(const TaskEnd &) const = default;
 };
 
-/// A worker that was lost under a task.
+/// The loss of a worker that ran a task.
 struct TaskLoss {
   TaskId Task;
   scheduling::WorkerLoss Cause = scheduling::WorkerLoss::Silent;
-  /// Nothing else ran there.
+  /// No other task ran there.
   bool Alone = false;
 
   bool operator==(const TaskLoss &) const = default;
 };
 
-/// How the workers are divided among the entries that schedule.
+/// How workers are divided into pools, each scheduled by one entry.
 enum class PoolPlan {
   One,    ///< One pool of all workers.
   ByRack, ///< A pool for each rack, or group of racks, of each data centre.
 };
 
-/// The group of each rack, by data centre. A rack without one, as one that has
-/// come since the workers were divided, is a group of its own.
+/// The group of each rack, by data centre. A rack without one, such as one
+/// added after the division, forms a group of its own.
 using RackGroups = std::map<DataCentreId, std::map<std::string, std::string>>;
 
-/// A batch of changes, as one entry of the log.
+/// A batch of changes, written as one log entry.
 struct JobChanges {
   std::vector<Job> Accepted;
   std::vector<TaskEnd> Ended;
@@ -189,7 +193,7 @@
   std::vector<JobId> Cancelled;
   std::vector<JobId> Forgotten;
   std::vector<EvacuationOrder> Evacuations;
-  /// From now on the workers are divided by racks, for good, into these groups.
+  /// Permanently divides the workers by rack, into these groups.
   bool SplitByRack = false;
   RackGroups Groups;
 
--- a/src/jobs/tests/fakeworkers.cpp
+++ b/src/jobs/tests/fakeworkers.cpp
@@ -1,4 +1,4 @@
-//===- fakeworkers.cpp - Workers that keep leases and tokens --------------===//
+//===- fakeworkers.cpp - Simulated workers for tests ----------------------===//
 
 #include "jobs/tests/fakeworkers.h"
 
@@ -14,7 +14,8 @@
 constexpr Duration LongestLease = 1000ms;
 constexpr Duration CallTimeout = 400ms;
 
-/// Calls back once: with the answer, or after the timeout with \p Late.
+/// Wraps \p Done to be called once: with the answer, or with \p Late after the
+/// timeout.
 template <typename T>
 std::function<void(T)> once(ITimers &Timers, std::function<void(T)> Done,
                             Duration Timeout, T Late) {
@@ -263,7 +264,7 @@
         };
         if (!First || !First->Ended.empty() || Order.Wait == Duration(0))
           return Answer(First);
-        // The lease is given now; the answer comes with the next end.
+        // The lease is renewed now; the answer comes with the next end.
         HoldOrder Again = Order;
         Again.LeaseUntil.reset();
         auto Open = std::make_shared<bool>(true);
--- a/src/jobs/tests/fakeworkers.h
+++ b/src/jobs/tests/fakeworkers.h
@@ -1,9 +1,9 @@
-//===- fakeworkers.h - Workers that keep leases and tokens ------*- C++ -*-===//
+//===- fakeworkers.h - Simulated workers for tests --------------*- C++ -*-===//
 //
-// Workers on a paused clock, as the orders of IWorkerCalls describe them: they
-// run tasks for a while, kill everything when the lease ends, obey the highest
-// token, and remember their ends. They note every start, so that a test can see
-// whether one task ran twice at a time.
+// Simulated workers on a test clock that implement IWorkerCalls: they run tasks
+// for a given time, kill all tasks when the lease expires, obey the highest
+// fencing token, and keep their ends. They record every start, so that a test
+// can check whether a task ever ran twice at a time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,11 +19,11 @@
 
 namespace geraniumbay::jobs {
 
-/// What can go wrong between callers and workers.
+/// Faults injected between callers and workers.
 struct WorkerFaults {
   /// Pairs of hosts that cannot reach each other.
   std::set<std::pair<std::string, std::string>> Cut;
-  /// Out of a hundred orders, how many get no answer and are carried out late.
+  /// Percentage of orders that get no answer and are carried out late.
   std::uint64_t LatePercent = 0;
 
   bool isCut(const std::string &One, const std::string &Other) const {
@@ -37,15 +37,15 @@
   FakeWorkers(const IClock &Clock, ITimers &Timers, WorkerFaults &Faults)
       : Clock_(Clock), Timers_(Timers), Faults_(Faults) {}
 
-  /// Adds a worker with \p CpuMillis and returns what it announces.
+  /// Adds a worker with \p CpuMillis and returns its announcement.
   WorkerInfo add(const std::string &Host, const std::string &DataCentre,
                  std::uint32_t CpuMillis);
 
-  /// How long tasks take, and how many out of a hundred fail.
+  /// Run time of tasks, and the percentage that fails.
   Duration TaskTime = std::chrono::milliseconds(200);
   std::uint64_t FailPercent = 0;
-  /// Jobs whose tasks crash each worker that starts them; it is back after
-  /// CrashDown under another id. Restarted is told then.
+  /// Jobs whose tasks crash every worker that starts them. The worker comes
+  /// back after CrashDown under another id, and Restarted is called.
   std::set<JobId> CrashingJobs;
   Duration CrashDown = std::chrono::seconds(2);
   std::function<void(const WorkerInfo &Old, const WorkerInfo &New)> Restarted;
@@ -53,8 +53,8 @@
   std::set<WorkerId> Broken;
   Random Rng{1};
 
-  // What was seen.
-  /// Tasks of which two runs were there at one time.
+  // Observations.
+  /// Tasks of which two runs existed at the same time.
   std::set<TaskId> Doubled;
   std::uint64_t Starts = 0;
   std::map<DataCentreId, std::uint64_t> StartsIn;
@@ -62,7 +62,7 @@
   std::map<WorkerId, std::uint64_t> StartsOn;
   std::uint64_t StartsOnBroken = 0;
   std::uint64_t RoomRefusals = 0;
-  /// By task of a crashing job.
+  /// Number of starts, by task of a crashing job.
   std::map<TaskId, std::uint64_t> StartsOfCrashing;
   std::uint64_t Crashes = 0;
 
@@ -82,15 +82,15 @@
     std::vector<EndedTask> Ends;
     std::uint64_t LastEnd = 0;
     Time Lease;
-    /// A hold that waits for an end, and until when.
+    /// Answers the pending hold early; empty if there is none.
     std::function<void()> Waiting;
-    /// Its process is gone, and another incarnation is there.
+    /// Its process has ended, and another incarnation has replaced it.
     bool Down = false;
     bool Replaced = false;
   };
 
   StartAnswer start(Worker &Target, const StartOrder &Order);
-  /// Returns whether the worker obeys.
+  /// Returns whether the token was accepted.
   bool stop(Worker &Target, const StopOrder &Order);
   Outcome<HoldAnswer> look(Worker &Target, const HoldOrder &Order);
   void extend(Worker &Target, WorkerMillis Until);
@@ -98,7 +98,7 @@
   void checkLease(Worker &Target);
   void crash(Worker &Target);
   void comeBack(const WorkerId &Id);
-  /// Changes what the worker takes at a time, without a word.
+  /// Changes the capacity of the worker without announcing it.
 public:
   void setCapacity(const WorkerId &Id, std::uint32_t CpuMillis) {
     Workers_[Id].Info.Capacity.CpuMillis = CpuMillis;
@@ -115,7 +115,7 @@
   std::map<WorkerId, Worker> Workers_;
 };
 
-/// The calls of one host to the workers; each way takes a millisecond.
+/// The calls from one host to the workers; each way takes a millisecond.
 class FakeWorkerCalls : public IWorkerCalls {
 public:
   FakeWorkerCalls(FakeWorkers &Workers, std::string Host)
@@ -133,8 +133,8 @@
   bool Dead = false;
 
 private:
-  /// Runs \p Arrive at the worker after the way there; false if it is late, so
-  /// that no answer must be given.
+  /// Calls \p Arrive on the worker after the one-way delay; Answers is false
+  /// for a late order, which must not be answered.
   void deliver(const WorkerTarget &To,
                std::function<void(FakeWorkers::Worker &, bool Answers)> Arrive);
 
--- a/src/jobs/tests/workersessiontest.cpp
+++ b/src/jobs/tests/workersessiontest.cpp
@@ -1,4 +1,4 @@
-//===- workersessiontest.cpp - Reading of hold answers --------------------===//
+//===- workersessiontest.cpp - Tests of worker sessions -------------------===//
 
 #include "jobs/internal/workersession.h"
 
@@ -43,7 +43,7 @@
   EXPECT_EQ(Session.Used.CpuMillis, 0U);
 }
 
-TEST(WorkerSessionTest, AnEndFreesItsRoomOnce) {
+TEST(WorkerSessionTest, AnEndFreesItsCapacityOnce) {
   WorkerSession Session = sessionWith(First, 2000);
   HoldAnswer Answer = answerAt(1500);
   Answer.Ended.push_back({1, First, RunNumber(1), EndKind::Done});
@@ -65,9 +65,9 @@
   EXPECT_EQ(Session.Runs.size(), 1U);
 }
 
-// Answers on different connections overtake each other: what an old one lists
-// must neither drop a run nor say that nothing unknown runs there.
-TEST(WorkerSessionTest, AnOvertakenAnswerTellsOfEndsOnly) {
+// Answers on different connections can arrive out of order: the task list of an
+// outdated one must neither drop a run nor suggest that no unknown task runs.
+TEST(WorkerSessionTest, AnOutdatedAnswerReportsEndsOnly) {
   WorkerSession Session = sessionWith(First, 0);
   HoldAnswer Newer = answerAt(3000);
   Newer.Running.push_back({First, RunNumber(1)});
@@ -84,14 +84,15 @@
 TEST(WorkerSessionTest, ALeaseNeverExceedsWhatASlowClockGrants) {
   WorkerSession Session = sessionWith(First, 0);
   LeaseSettings Settings;
-  // A worker whose clock is 2% slow shows 980 ms after a second.
+  // A worker clock that is 2% slow advances by 980 ms in a second.
   EXPECT_EQ(leaseUntil(Session, Settings, 1s, Now + 1s).value(),
             1000 + 980 + 1000);
   EXPECT_GE(leaseBound(Settings), 1020ms + Settings.KillTime);
 }
 
-// The owner stood still while the answer lay there, and then orders with it.
-TEST(WorkerSessionTest, ALateStartCorrectsAnEstimateThatIsBehind) {
+// The owner is paused while the answer lies unread, and then sends orders based
+// on it.
+TEST(WorkerSessionTest, ALateStartCorrectsALaggingClockEstimate) {
   WorkerSession Session = sessionWith(First, 0);
   LeaseSettings Settings;
   applyHoldAnswer(Session, answerAt(1010), Now + 300ms);
@@ -102,7 +103,7 @@
             WorkerMillis(1362));
 }
 
-// A worker that stood still is behind what its clock was taken to be.
+// A worker that was paused is behind the estimate of its clock.
 TEST(WorkerSessionTest, AnEstimateIsNeverAheadOfTheLatestAnswer) {
   WorkerSession Session = sessionWith(First, 0);
   noteClockReading(Session, WorkerMillis(1010), Now + 1s);
@@ -110,16 +111,16 @@
             WorkerMillis(1070));
 }
 
-TEST(WorkerSessionTest, AnyAnswerShowsHowFarTheClockHasCome) {
+TEST(WorkerSessionTest, AnyAnswerUpdatesTheClockReading) {
   WorkerSession Session = sessionWith(First, 0);
   noteClockReading(Session, WorkerMillis(1500), Now + 10ms);
   EXPECT_EQ(leaseUntil(Session, LeaseSettings(), 60ms, Now + 10ms),
             WorkerMillis(1560));
-  // What holds list is still in the order of their own moments.
+  // Hold answers are ordered by their own readings only.
   EXPECT_TRUE(applyHoldAnswer(Session, answerAt(1400), Now + 20ms).Current);
 }
 
-TEST(WorkerSessionTest, WhatAPartialAnswerDoesNotListIsNotTakenForGone) {
+TEST(WorkerSessionTest, RunsMissingFromAPartialAnswerAreKept) {
   TaskId Task{JobId("job"), 0, 0};
   WorkerSession Session = sessionWith(Task, 1000);
   HoldAnswer Answer;
--- a/src/scheduling/admission.cpp
+++ b/src/scheduling/admission.cpp
@@ -1,4 +1,4 @@
-//===- admission.cpp - Which jobs are taken -------------------------------===//
+//===- admission.cpp - Admission control for jobs -------------------------===//
 //
 // Compares the forecast with the job's laxity.
 //
@@ -12,13 +12,13 @@
 
 namespace {
 
-/// Callers are told to wait for half a second at least: the time in which a
-/// backlog that is as long as the shortest objectives drains, and a pause that
-/// keeps those who return from being a load of their own.
+/// The shortest retry delay: a backlog as long as the shortest objectives
+/// drains within it, and retries do not add noticeable load.
 constexpr Duration MinRetryAfter = std::chrono::milliseconds(500);
-/// Where no end is in sight. Bursts last some seconds.
+/// The longest retry delay, also used where the wait cannot be predicted.
+/// Bursts last a few seconds.
 constexpr Duration MaxRetryAfter = std::chrono::seconds(4);
-/// Returns are spread over this many parts of the pause, beyond its end.
+/// Retries are staggered over this many steps, up to twice the delay.
 constexpr std::size_t SpreadParts = 8;
 
 } // namespace
--- a/src/scheduling/admission.h
+++ b/src/scheduling/admission.h
@@ -1,13 +1,13 @@
-//===- admission.h - Which jobs are taken -----------------------*- C++ -*-===//
+//===- admission.h - Admission control for jobs -----------------*- C++ -*-===//
 //
-// A queue that takes everything serves nobody when more comes in than the pool
-// can do: each job waits until its answer is of no use, and those behind it
-// wait for that. So a job is taken only if the forecast has it end in time;
-// others are refused when they come, which takes their callers a round trip,
-// and are told when the backlog will have gone.
+// Under overload, a queue that admits every job lets each wait until its answer
+// is useless. A job is therefore admitted only if the forecast says that it
+// will end in time. Others are refused on arrival, at the cost of one round
+// trip, and are told when the backlog should have drained.
 //
-// A job that can only be late, as after its scheduler was lost, is served where
-// the pool keeps up with what comes in, behind what can be in time.
+// A job that can only be late, for example after its scheduler was lost, is
+// served behind those that can be in time, provided that the pool keeps up with
+// the arrivals.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,44 +21,45 @@
 namespace geraniumbay::scheduling {
 
 enum class Verdict {
-  InTime,  ///< Served in its turn.
+  InTime,  ///< Served in order of priority.
   Late,    ///< Served after those of its priority that can be in time.
-  Refused, ///< Its answer would be of no use, or keep others from being of any.
+  Refused, ///< Would miss its hard deadline, or make other jobs miss theirs.
 };
 
-/// Stable name of \p What for logs.
+/// Stable name of \p Result for logs.
 const char *verdictName(Verdict Result);
 
-/// What becomes of a job.
+/// The admission decision for a job.
 struct Admission {
   Verdict Result = Verdict::InTime;
-  /// Of one that is refused: when it is worth coming back.
+  /// For a refused job: the time after which a retry makes sense.
   Duration RetryAfter{0};
 };
 
-/// How long until the last of a job's tasks starts; nothing if that is not in
-/// sight.
+/// Forecast time until the last of a job's tasks starts; empty if it cannot be
+/// predicted.
 struct WaitForecast {
-  /// In its turn.
+  /// If served in order of its priority.
   std::optional<Duration> InTurn;
-  /// If all that comes in of its own priority goes before it.
+  /// If it is served behind all other work of its own priority, including
+  /// future arrivals.
   std::optional<Duration> AsLate;
 };
 
-/// Decides on a job whose longest chain of tasks runs for \p Chain. \p Spread,
-/// a number of the job, keeps callers that are refused together from coming
-/// back together.
+/// Decides on a job whose critical path takes \p Chain. \p Spread, a number
+/// derived from the job, staggers the retries of callers that are refused
+/// together.
 Admission admit(const AnswerDeadlines &Deadlines, Duration Chain,
                 const WaitForecast &Forecast, std::size_t Spread, Time Now);
 
-/// When a caller that is told now that the backlog takes \p Wait to drain comes
-/// back best; \p Spread as above.
+/// The delay after which a caller should retry if the backlog takes \p Wait to
+/// drain; \p Spread as above.
 Duration retryAfter(Duration Wait, std::size_t Spread);
 
 /// Whether a job that starts now can still end in time.
 bool canMeetSoftDeadline(const AnswerDeadlines &Deadlines, Duration Chain,
                          Time Now);
-/// Whether a job that starts now can still end while its answer is of use.
+/// Whether a job that starts now can still end while its answer is useful.
 bool canMeetHardDeadline(const AnswerDeadlines &Deadlines, Duration Chain,
                          Time Now);
 
--- a/src/scheduling/arrivals.cpp
+++ b/src/scheduling/arrivals.cpp
@@ -1,4 +1,4 @@
-//===- arrivals.cpp - How much work comes in ------------------------------===//
+//===- arrivals.cpp - Rate of incoming work -------------------------------===//
 //
 // Exponential decay.
 //
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Bursts come within a second and last some seconds: a mean over a second
-/// follows them and still holds a hundred jobs at a hundred a second.
+/// A mean over one second follows bursts, which build up within a second, and
+/// still averages over a hundred jobs at a hundred jobs a second.
 constexpr Duration TimeConstant = std::chrono::seconds(1);
 
 double decay(const Arrivals &Load, Time Now) {
--- a/src/scheduling/arrivals.h
+++ b/src/scheduling/arrivals.h
@@ -1,7 +1,7 @@
-//===- arrivals.h - How much work comes in ----------------------*- C++ -*-===//
+//===- arrivals.h - Rate of incoming work -----------------------*- C++ -*-===//
 //
-// The work that has been taken lately, by priority: what a job that waits must
-// let pass.
+// Recently admitted work by priority. Used to predict how much more urgent work
+// will overtake a waiting job.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,27 +14,27 @@
 
 namespace geraniumbay::scheduling {
 
-/// Priorities from this one on are counted together.
+/// Number of priority classes; all lower-ranking priorities share the last one.
 constexpr std::size_t PriorityClasses = 3;
 
-/// The class of a priority; 0 goes first.
+/// The class of a priority; 0 is the most urgent.
 inline std::size_t classOf(std::uint32_t Priority) {
   return Priority < PriorityClasses ? Priority : PriorityClasses - 1;
 }
 
-/// Decaying means. All zero at the start.
+/// Exponentially decaying sums; all zero initially.
 struct Arrivals {
-  /// Taken work by class, each part decayed since it came.
+  /// Admitted work by class, each part decayed by its age.
   std::array<CoreTime, PriorityClasses> Recent{};
   Time DecayedAt{};
 };
 
-/// Notes that work was taken.
+/// Records admitted work.
 void noteArrival(Arrivals &Load, std::uint32_t Priority, CoreTime Work,
                  Time Now);
 
-/// The thousandths of a core that arrivals before \p Priority keep busy. Before
-/// the last class and one more, that is all of them.
+/// The load, in thousandths of a core, from arrivals more urgent than \p
+/// Priority. From PriorityClasses on, all arrivals count.
 double urgentLoad(const Arrivals &Load, std::uint32_t Priority, Time Now);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/askpace.cpp
+++ b/src/scheduling/askpace.cpp
@@ -1,6 +1,6 @@
-//===- askpace.cpp - How often entries ask the leader ---------------------===//
+//===- askpace.cpp - Poll interval of entries -----------------------------===//
 //
-// A bounded rate shared by all.
+// Shares a bounded poll rate evenly; unanswered polls back off exponentially.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/scheduling/askpace.h
+++ b/src/scheduling/askpace.h
@@ -1,15 +1,14 @@
-//===- askpace.h - How often entries ask the leader -------------*- C++ -*-===//
+//===- askpace.h - Poll interval of entries ---------------------*- C++ -*-===//
 //
-// Answers the pattern of hundreds of entries that ask one small VM for what has
-// changed: each question costs it some tenths of a millisecond, whether or not
-// there is news. Above some number of entries each asks less often, so that the
-// questions of all together take a bounded share of the leader.
+// Hundreds of entries poll one small leader VM for changes, and each poll costs
+// it some tenths of a millisecond, with or without news. Above a certain number
+// of entries each polls less often, so that all polls together take a bounded
+// share of the leader.
 //
-// The second pattern is a leader that cannot answer in time, as when all
-// entries start at once and need whole lists: entries that give their questions
-// up and put them again keep it busy with answers that nobody waits for. Each
-// waits longer for its answer, and longer before it asks again, the more of its
-// questions were not answered.
+// A leader may also be too slow to answer in time, for example when all entries
+// start at once and need full lists. Entries that time out and retry then keep
+// it busy with answers that nobody waits for. So both the reply timeout and the
+// poll interval grow with the number of unanswered polls.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,24 +21,26 @@
 
 namespace geraniumbay::scheduling {
 
-/// The pause of a small group. A worker that drains must get no work two
-/// seconds after that was acknowledged.
+/// The interval in small groups. A draining worker must get no new work from
+/// two seconds after its drain was acknowledged, so entries must learn of it in
+/// time.
 constexpr Duration MinPollInterval = std::chrono::milliseconds(300);
-/// What an entry must hear within two seconds still reaches it with one
-/// question lost.
+/// News that must reach an entry within two seconds does so even if one poll is
+/// lost.
 constexpr Duration MaxPollInterval = std::chrono::milliseconds(800);
-/// At a quarter of a millisecond each a tenth of a core.
+/// At a quarter of a millisecond per poll this takes a tenth of a core.
 constexpr std::size_t MaxPollsPerSecond = 400;
 
-/// How long each of \p Entries waits before it asks again.
+/// The poll interval of each of \p Entries entries.
 Duration pollInterval(std::size_t Entries);
 
-/// The pause of an entry that needs an answer now. \p Told: its usual pause;
-/// \p Unanswered: its last questions in a row that the leader did not answer.
+/// The interval for an entry that needs an answer now. \p UsualInterval is its
+/// normal interval, \p Unanswered the number of consecutive polls without an
+/// answer.
 Duration urgentPollInterval(Duration UsualInterval, std::size_t Unanswered);
 
-/// How long the next question waits for its answer. At first as long as shows
-/// that a leader which is there does not answer.
+/// The reply timeout of the next poll. The first is just long enough to show
+/// that a reachable leader does not answer.
 Duration replyTimeout(std::size_t Unanswered);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/calltiming.cpp
+++ b/src/scheduling/calltiming.cpp
@@ -1,4 +1,4 @@
-//===- calltiming.cpp - How calls to workers fare -------------------------===//
+//===- calltiming.cpp - Latency and loss of worker calls ------------------===//
 
 #include "scheduling/calltiming.h"
 
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// A long latency is forgotten within some tens of orders.
+/// The part of the maximum that each shorter latency removes: a peak decays
+/// within some tens of orders.
 constexpr int LatencyDecayDivisor = 16;
-/// An order may take this many times as long as the one before.
+/// Allows an order to take this many times as long as the recent maximum.
 constexpr int Headroom = 2;
-/// After a lost answer others are expected to get lost for so long.
+/// How long after a lost answer further losses are expected.
 constexpr Duration LossWindow = std::chrono::seconds(5);
 
 } // namespace
--- a/src/scheduling/calltiming.h
+++ b/src/scheduling/calltiming.h
@@ -1,13 +1,13 @@
-//===- calltiming.h - How calls to workers fare -----------------*- C++ -*-===//
+//===- calltiming.h - Latency and loss of worker calls ----------*- C++ -*-===//
 //
-// What a pool's owner learns from its own calls to workers: how long an order
-// takes until it is answered, and whether answers get lost.
+// Statistics that a pool's owner keeps of its own calls to workers: the time
+// until a start order is answered, and whether answers get lost.
 //
-// The pattern: a wide job gives an owner with little processor time some
-// fifteen orders at once. The last ones leave after those before them, and
-// their answers wait behind all others, so that they take several times as long
-// as usual. If they are valid for the usual time only, workers refuse them as
-// late, each is ordered anew, and the owner has still more to do.
+// A wide job makes an owner with little processor time send some fifteen orders
+// at once. The last of them leave late and their answers queue behind the
+// others, so that they take several times as long as usual. If they were valid
+// for the usual time only, workers would refuse them as late and each would be
+// ordered again, which adds to the load.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,21 +21,22 @@
 namespace geraniumbay::scheduling {
 
 struct CallTiming {
-  /// The longest that an order took lately until its answer was read. It goes
-  /// down by a part with each shorter one.
+  /// Decaying maximum of the time from sending an order until its answer was
+  /// read.
   Duration Latency{0};
-  /// When an answer was last found to be lost.
+  /// When the last lost answer was detected.
   std::optional<Time> LostAt;
 };
 
-/// Notes an order that was answered after \p Took.
+/// Records that an order was answered after \p Latency.
 void noteAnswered(CallTiming &Timing, Duration Latency);
-/// Notes that a call got no answer though its worker has answered a later one.
+/// Records that a call got no answer although its worker has answered a later
+/// one.
 void noteAnswerLost(CallTiming &Timing, Time Now);
 
-/// Whether answers got lost lately, so that who waits for one asks again soon.
+/// Whether answers were lost recently, so that calls should be repeated sooner.
 bool losesAnswers(const CallTiming &Timing, Time Now);
-/// How long an order that is sent now is to be valid, within the bounds.
+/// The validity of an order sent now, clamped to [\p Min, \p Max].
 Duration orderValidity(const CallTiming &Timing, Duration Min, Duration Max);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/coretime.h
+++ b/src/scheduling/coretime.h
@@ -1,7 +1,7 @@
 //===- coretime.h - Work in cores times time --------------------*- C++ -*-===//
 //
-// The unit of work and of backlogs, so that a number of cores, a duration and
-// their product are not mixed up.
+// The unit of work and backlogs. A type of its own keeps it from being mixed up
+// with numbers of cores and with durations.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,12 +25,12 @@
   }
 };
 
-/// The work of a task that takes \p Cores for \p Long.
+/// The work of a task that uses \p Cores for \p RunTime.
 inline CoreTime workOf(MilliCores Cores, Duration RunTime) {
   return {static_cast<double>(Cores) * static_cast<double>(RunTime.count())};
 }
 
-/// How long \p Cores need for \p Work. \p Cores is above 0.
+/// The time that \p Cores need for \p Work. \p Cores is above 0.
 inline Duration timeFor(CoreTime Work, double Cores) {
   return Duration(static_cast<Duration::rep>(Work.Value / Cores));
 }
--- a/src/scheduling/durations.h
+++ b/src/scheduling/durations.h
@@ -1,6 +1,6 @@
 //===- durations.h - Arithmetic on durations --------------------*- C++ -*-===//
 //
-// Ratios of durations, and what fades with time.
+// Ratios of durations, and exponential decay.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace geraniumbay::scheduling {
 
-/// How many times \p Other, which counts as a microsecond at least, \p One is.
+/// \p Dividend / \p Divisor. A divisor below a microsecond counts as one.
 inline double ratio(Duration Dividend, Duration Divisor) {
   return static_cast<double>(Dividend.count()) /
          static_cast<double>(std::max(Divisor, Duration(1)).count());
@@ -25,7 +25,7 @@
       static_cast<Duration::rep>(static_cast<double>(Value.count()) * Factor));
 }
 
-/// What is left of \p Value after \p Age if half of it goes in \p HalfLife.
+/// \p Value after it has decayed for \p Age with the half-life \p HalfLife.
 inline double decayed(double Value, Duration Age, Duration HalfLife) {
   return Value * std::exp2(-ratio(Age, HalfLife));
 }
--- a/src/scheduling/forecast.cpp
+++ b/src/scheduling/forecast.cpp
@@ -1,6 +1,6 @@
 //===- forecast.cpp - When a job's tasks will start -----------------------===//
 //
-// A heap of the moments at which places become free.
+// Keeps a min-heap of the times at which slots become free.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,8 @@
 using SlotQueue =
     std::priority_queue<Duration, std::vector<Duration>, std::greater<>>;
 
-/// Gives the first place that is free to a task of \p Run; returns when.
+/// Assigns the slot that becomes free first to a task of \p Run and returns its
+/// start time.
 Duration startNext(SlotQueue &Free, Duration Run) {
   Duration At = Free.top();
   Free.pop();
--- a/src/scheduling/forecast.h
+++ b/src/scheduling/forecast.h
@@ -1,8 +1,9 @@
 //===- forecast.h - When a job's tasks will start ---------------*- C++ -*-===//
 //
-// Plays the pool forward from what runs and what waits: each task that ends
-// gives its place to the next one that waits. Sizes of tasks are left out, so a
-// place is whatever one task takes; a full pool has as many as it runs tasks.
+// Simulates the pool from the running and the waiting tasks: each task that
+// ends frees its slot for the next one that waits. Resource sizes are ignored:
+// a slot is whatever one task takes, and a full pool has as many slots as
+// running tasks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,35 +17,36 @@
 
 namespace geraniumbay::scheduling {
 
-/// The pool as a job finds it.
+/// State of the pool when the job arrives.
 struct PoolOutlook {
-  /// Places that are free for tasks of the job's size.
+  /// Free slots for tasks of the size of the job's.
   std::size_t Free = 0;
-  /// For each task that runs, how long it still takes. A place that is not
-  /// expected to become free is left out.
+  /// The remaining run time of each running task. Slots that are not expected
+  /// to become free are left out.
   std::vector<Duration> BusyFor;
-  /// How long the tasks that go before the job's will run, in their order.
+  /// Run times of the tasks queued ahead of the job's, in order.
   std::vector<Duration> Ahead;
-  /// Share of the pool, of 1, that more urgent work keeps coming in for.
+  /// Share of the pool, from 0 to 1, taken by future arrivals of more urgent
+  /// work.
   double UrgentShare = 0;
 };
 
-/// The job's tasks that may start at once when there is room.
+/// The tasks of the job that are ready to start.
 struct JobOutlook {
   std::size_t Tasks = 1;
-  /// How long each runs.
+  /// Expected run time of each.
   Duration Run{0};
 };
 
-/// How long until the last of the job's tasks starts; nothing if that cannot be
-/// told, as where no task runs and none can start, or where more urgent work
-/// takes the whole pool.
+/// Time until the last of the job's tasks starts; empty if it cannot be
+/// predicted: no task runs and none can start, or more urgent work takes the
+/// whole pool.
 std::optional<Duration> waitForLastStart(const PoolOutlook &Pool,
                                          const JobOutlook &Job);
 
-/// How long a task that has run for \p Age, and was expected to take
-/// \p Expected, still takes. One that is over its time is expected to go on for
-/// a part of it.
+/// Expected remaining run time of a task that has run for \p Age of the
+/// expected \p Expected. A task that overruns is expected to go on for a fixed
+/// part of \p Expected.
 Duration remainingRunTime(Duration Expected, Duration Age);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/forecastskill.cpp
+++ b/src/scheduling/forecastskill.cpp
@@ -1,6 +1,6 @@
-//===- forecastskill.cpp - How far forecasts were off ---------------------===//
+//===- forecastskill.cpp - Correction of wait forecasts -------------------===//
 //
-// An exponentially weighted mean that fades.
+// Exponentially weighted mean that decays over time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// Ten jobs in a row move the correction most of its way; at a hundred jobs a
-/// second that is a tenth of a second.
+/// Ten consecutive jobs move the correction most of the way; at a hundred jobs
+/// a second that is a tenth of a second.
 constexpr double Weight = 0.1;
-/// One job says no more than this factor.
+/// Limits the influence of a single job.
 constexpr double MaxLogError = 1.5;
-/// Added to both sides: waits of some milliseconds say nothing.
+/// Added to both durations, since waits of a few milliseconds are noise.
 constexpr Duration NoiseFloor = std::chrono::milliseconds(20);
-/// After this time without a job half of the correction has faded.
+/// Half-life of the correction while no job updates it.
 constexpr Duration HalfLife = std::chrono::seconds(1);
 
 double errorNow(const ForecastSkill &Skill, Time Now) {
--- a/src/scheduling/forecastskill.h
+++ b/src/scheduling/forecastskill.h
@@ -1,9 +1,9 @@
-//===- forecastskill.h - How far forecasts were off -------------*- C++ -*-===//
+//===- forecastskill.h - Correction of wait forecasts -----------*- C++ -*-===//
 //
-// A forecast plays what is known forward: it does not know of workers that have
-// just been lost, or turned slow, nor of tasks that will have to run again. How
-// long jobs did wait against what was forecast shows all of that within some
-// jobs, whatever the cause, and later forecasts are corrected by it.
+// A forecast cannot foresee what is not known yet: workers just lost or turned
+// slow, or tasks that must run again. The ratio of actual to forecast waits
+// reveals such effects within a few jobs, whatever the cause, and is used to
+// correct later forecasts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,19 +14,20 @@
 
 namespace geraniumbay::scheduling {
 
-/// Of jobs of one priority.
+/// Forecast error of the jobs of one priority.
 struct ForecastSkill {
   /// Decaying mean of ln(waited / forecast).
   double LogError = 0;
   Time LearnedAt{};
 };
 
-/// Takes a job that had to wait for \p Waited, or that was given up after it.
+/// Updates the error with a job that waited for \p Waited, or was given up
+/// after it.
 void learnForecast(ForecastSkill &Skill, Duration Forecast, Duration Waited,
                    Time Now);
 
-/// The forecast as it should have been. Never shorter: that jobs waited less is
-/// no reason to take more of them than fit.
+/// The corrected forecast, never shorter than \p Forecast: jobs that waited
+/// less than predicted must not lead to overload.
 Duration correctedForecast(const ForecastSkill &Skill, Duration Forecast,
                            Time Now);
 
--- a/src/scheduling/poolsize.cpp
+++ b/src/scheduling/poolsize.cpp
@@ -1,6 +1,7 @@
-//===- poolsize.cpp - Which racks share a pool ----------------------------===//
+//===- poolsize.cpp - Grouping of racks into pools ------------------------===//
 //
-// The largest rack goes to the group with the fewest workers, and so on.
+// Greedy partition: racks in descending order of size, each into the smallest
+// group.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/scheduling/runtimes.cpp
+++ b/src/scheduling/runtimes.cpp
@@ -12,9 +12,9 @@
 namespace geraniumbay::scheduling {
 namespace {
 
-/// Weight of a new sample once enough were seen.
+/// Weight of a new sample once the model has enough of them.
 constexpr double MinWeight = 0.05;
-/// What was learned longer ago is not used.
+/// Age from which on a model is ignored.
 constexpr Duration ForgetAfter = std::chrono::minutes(1);
 
 double seconds(Duration Value) {
--- a/src/scheduling/runtimes.h
+++ b/src/scheduling/runtimes.h
@@ -1,6 +1,6 @@
 //===- runtimes.h - Learned run times ---------------------------*- C++ -*-===//
 //
-// Predicts how long a task runs. Declared run times are often far off, so that
+// Predicts the run time of a task. Declared run times are often far off, so
 // three predictors compete for each kind of task: the declared time, the
 // declared time times a learned factor, and the learned mean. The one with the
 // smallest recent error is used.
@@ -14,10 +14,10 @@
 
 namespace geraniumbay::scheduling {
 
-/// What was learned of the tasks of one kind, as those of one queue, or of one
+/// Statistics of the tasks of one kind, such as those of one queue or of one
 /// caller at one service.
 struct RunTimeModel {
-  /// Number of tasks seen, up to a bound.
+  /// Number of samples, up to a bound.
   std::uint32_t Samples = 0;
   Time LearnedAt{};
   /// Mean run time in seconds.
@@ -31,14 +31,14 @@
   double MeanError = 0;
 };
 
-/// Expected run time of a task; \p Declared is zero if it was not declared, and
-/// \p Unknown is the answer when nothing at all is known. What was learned is
-/// not used when nothing new was learned for a minute: a caller that was
-/// refused for its run time gets another chance.
+/// Expected run time of a task. \p Declared is zero if it was not declared; \p
+/// Unknown is returned if nothing is known. A model without new samples for a
+/// minute is ignored, so that a caller that was refused for its run time gets
+/// another chance.
 Duration expectedRun(const RunTimeModel &Model, Duration Declared,
                      Duration Unknown, Time Now);
 
-/// Takes the run time \p Ran of a task that succeeded into the model.
+/// Updates the model with the run time \p Ran of a task that succeeded.
 void learnRun(RunTimeModel &Model, Duration Declared, Duration Ran, Time Now);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/steadyload.cpp
+++ b/src/scheduling/steadyload.cpp
@@ -1,6 +1,6 @@
-//===- steadyload.cpp - Telling many of a load that jumps -----------------===//
+//===- steadyload.cpp - Smoothed load reports -----------------------------===//
 //
-// Exponential smoothing over time, and a step before a value is told anew.
+// Exponential smoothing over time, with hysteresis on the reported value.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/scheduling/steadyload.h
+++ b/src/scheduling/steadyload.h
@@ -1,10 +1,10 @@
-//===- steadyload.h - Telling many of a load that jumps ---------*- C++ -*-===//
+//===- steadyload.h - Smoothed load reports ---------------------*- C++ -*-===//
 //
-// Answers the pattern of short tasks in many pools: the use of a pool jumps by
-// a tenth within a task's time, while what is told of it is older than that
-// when it is used, and each change goes to every entry. So a smoothed value is
-// told, and told anew only when it has moved by a step: what all pools together
-// send stays small, and entries do not chase jumps that are over.
+// With short tasks the load of a pool jumps by a tenth within one task's run
+// time, while a report is older than that by the time it is used, and each
+// report goes to every entry. So a smoothed value is reported, and only when it
+// has moved by a step: the traffic of all pools stays small, and entries do not
+// react to short-lived jumps.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,22 +17,22 @@
 
 namespace geraniumbay::scheduling {
 
-/// One figure that is told to many, in any unit.
+/// A value reported to many receivers, in any unit.
 struct SmoothedValue {
   double Smoothed = 0;
   std::optional<Time> SampledAt;
-  /// What was told last.
+  /// The last reported value.
   double Reported = 0;
 };
 
-/// The time in which a steady change is told by two thirds.
+/// Time constant: after this time a step change shows by about two thirds.
 constexpr Duration SmoothingTime = std::chrono::milliseconds(400);
 
-/// Takes what is seen now.
+/// Updates the smoothed value with a sample.
 void observe(SmoothedValue &Value, double Sample, Time Now);
 
-/// Returns what is to be told: the value told last, unless the smoothed one has
-/// moved away from it by \p Step or is back at zero.
+/// Returns the value to report: the last one, unless the smoothed value has
+/// moved away from it by \p Step or has returned to about zero.
 double valueToReport(SmoothedValue &Value, double Step);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/suspicion.cpp
+++ b/src/scheduling/suspicion.cpp
@@ -1,4 +1,4 @@
-//===- suspicion.cpp - Which task crashes its workers ---------------------===//
+//===- suspicion.cpp - Detection of crashing tasks ------------------------===//
 
 #include "scheduling/suspicion.h"
 
@@ -8,15 +8,16 @@
 
 namespace {
 
-/// Crashes after which a task that was alone in the last one is guilty, and one
-/// that may not have been the cause of any.
+/// Crashes after which a task is quarantined: if it was alone in the last one,
+/// and if other tasks may have caused all of them.
 constexpr std::uint32_t QuarantineCrashesAlone = 2;
 constexpr std::uint32_t QuarantineCrashes = 3;
-/// The same for losses that may have been no crashes.
+/// The same for a task that was alone, counting losses that may not have been
+/// crashes.
 constexpr std::uint32_t QuarantineLossesAlone = 3;
-/// Losses without a sign of a crash after which a task is suspected.
+/// Silent losses after which a task is suspected.
 constexpr std::uint32_t SuspectSilentLosses = 2;
-/// Of so many workers one may run suspects.
+/// One in this many workers may run suspects.
 constexpr std::size_t WorkersPerSuspectHost = 6;
 
 } // namespace
--- a/src/scheduling/suspicion.h
+++ b/src/scheduling/suspicion.h
@@ -1,14 +1,15 @@
-//===- suspicion.h - Which task crashes its workers -------------*- C++ -*-===//
+//===- suspicion.h - Detection of crashing tasks ----------------*- C++ -*-===//
 //
-// A task may crash each worker that starts it, and takes what runs beside it
-// with it. When a worker is lost, each task that ran there may be the cause. So
-// a suspect runs alone on a worker: if it ends well it is cleared, and if it is
-// lost again nothing else can be the cause. A few workers at a time are left to
-// suspects, so that a job of many such tasks does not take the pool down.
+// A task may crash every worker that starts it, which takes down the tasks
+// beside it. When a worker is lost, each task that ran there may be the cause.
+// So a suspect runs alone on a worker: if it succeeds it is cleared, and if the
+// worker is lost again nothing else can be the cause. Only a few workers at a
+// time may run suspects, so that a job with many such tasks does not take the
+// whole pool down.
 //
-// The pattern: a task, or all tasks of a job, crash every worker within
-// moments; workers come back after seconds. Beside it workers are lost for
-// other reasons: cut off, frozen, without power, or taken away.
+// A task, or all tasks of a job, may crash workers within milliseconds, while a
+// worker takes seconds to come back. Workers are also lost for other reasons:
+// network failures, frozen processes, power failures and removal.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,39 +21,39 @@
 
 namespace geraniumbay::scheduling {
 
-/// How a worker was lost.
+/// How the loss of a worker was detected.
 enum class WorkerLoss {
   Crashed, ///< Another incarnation answers at its address.
-  Refused, ///< Connections are refused, by its VM or by something between.
-  Silent,  ///< Nothing answers: it is cut off, frozen or without power.
+  Refused, ///< Its VM, or something between, refuses connections.
+  Silent,  ///< No answer: network failure, frozen or powered off.
 };
 
-/// Stable name of \p How for logs.
+/// Stable name of \p Loss for logs.
 const char *workerLossName(WorkerLoss Loss);
 
-/// What speaks against one task.
+/// Evidence that a task crashes its workers.
 struct Suspicion {
-  /// Workers that have crashed while it ran there.
+  /// Number of workers that crashed while it ran there.
   std::uint32_t Crashes = 0;
-  /// Workers that were lost while it ran there, for whatever reason. Invariant:
-  /// not below Crashes.
+  /// Number of workers that were lost while it ran there, for any reason.
+  /// Invariant: not below Crashes.
   std::uint32_t Losses = 0;
-  /// It runs alone until it ends well.
+  /// It must run alone until it succeeds.
   bool Suspected = false;
-  /// It is started no more.
+  /// It is not started any more.
   bool Quarantined = false;
 
   bool operator==(const Suspicion &) const = default;
 };
 
-/// Notes that a worker was lost under the task; \p Alone: nothing else ran
-/// there.
+/// Records that a worker was lost while it ran the task; \p Alone: nothing else
+/// ran there.
 void noteLoss(Suspicion &Task, WorkerLoss Loss, bool Alone);
 
-/// Joins what two schedulers have seen of one task.
+/// Merges the evidence of two schedulers about one task.
 void merge(Suspicion &Into, const Suspicion &Other);
 
-/// How many of \p Workers may run suspects at a time.
+/// The number of workers, out of \p Workers, that may run suspects at a time.
 std::size_t maxWorkersForSuspects(std::size_t Workers);
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/tests/calltimingtest.cpp
+++ b/src/scheduling/tests/calltimingtest.cpp
@@ -1,6 +1,7 @@
-//===- calltimingtest.cpp - How calls to workers fare ---------------------===//
+//===- calltimingtest.cpp - Tests of worker call statistics ---------------===//
 //
-// A burst of orders from an owner with little processor time, and lost answers.
+// Covers bursts of orders from an owner with little processor time, and lost
+// answers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,37 +18,37 @@
 constexpr Duration Longest = 1000ms;
 
 TEST(CallTimingTest, OrdersOfAQuickOwnerAreValidForTheLeastTime) {
-  CallTiming Known;
-  EXPECT_EQ(orderValidity(Known, Least, Longest), Least);
-  noteAnswered(Known, 5ms);
-  EXPECT_EQ(orderValidity(Known, Least, Longest), Least);
+  CallTiming Timing;
+  EXPECT_EQ(orderValidity(Timing, Least, Longest), Least);
+  noteAnswered(Timing, 5ms);
+  EXPECT_EQ(orderValidity(Timing, Least, Longest), Least);
 }
 
-// Fifteen orders at once, each answered 8 ms after the one before: the last
-// ones take 120 ms, and so will those that are sent meanwhile.
-TEST(CallTimingTest, OrdersBesideAWideJobOutliveItsAnswers) {
-  CallTiming Known;
+// Fifteen orders are sent at once, each answered 8 ms after the one before. The
+// last takes 120 ms, and so will orders sent meanwhile.
+TEST(CallTimingTest, OrdersSentWithAWideJobOutliveItsAnswers) {
+  CallTiming Timing;
   for (int I = 1; I <= 15; ++I)
-    noteAnswered(Known, I * 8ms);
-  EXPECT_GT(orderValidity(Known, Least, Longest), 120ms);
-  EXPECT_LE(orderValidity(Known, Least, Longest), Longest);
+    noteAnswered(Timing, I * 8ms);
+  EXPECT_GT(orderValidity(Timing, Least, Longest), 120ms);
+  EXPECT_LE(orderValidity(Timing, Least, Longest), Longest);
 }
 
-TEST(CallTimingTest, ABurstIsForgotten) {
-  CallTiming Known;
-  noteAnswered(Known, 200ms);
+TEST(CallTimingTest, ABurstDecays) {
+  CallTiming Timing;
+  noteAnswered(Timing, 200ms);
   for (int I = 0; I < 60; ++I)
-    noteAnswered(Known, 5ms);
-  EXPECT_EQ(orderValidity(Known, Least, Longest), Least);
+    noteAnswered(Timing, 5ms);
+  EXPECT_EQ(orderValidity(Timing, Least, Longest), Least);
 }
 
 TEST(CallTimingTest, ALostAnswerIsRememberedForSomeSeconds) {
-  CallTiming Known;
+  CallTiming Timing;
   Time Now{100s};
-  EXPECT_FALSE(losesAnswers(Known, Now));
-  noteAnswerLost(Known, Now);
-  EXPECT_TRUE(losesAnswers(Known, Now + 4s));
-  EXPECT_FALSE(losesAnswers(Known, Now + 6s));
+  EXPECT_FALSE(losesAnswers(Timing, Now));
+  noteAnswerLost(Timing, Now);
+  EXPECT_TRUE(losesAnswers(Timing, Now + 4s));
+  EXPECT_FALSE(losesAnswers(Timing, Now + 6s));
 }
 
 } // namespace
--- a/src/scheduling/tests/forecastskilltest.cpp
+++ b/src/scheduling/tests/forecastskilltest.cpp
@@ -1,8 +1,8 @@
-//===- forecastskilltest.cpp - How far forecasts were off -----------------===//
+//===- forecastskilltest.cpp - Tests of forecast correction ---------------===//
 //
-// The pattern: a fifth of the workers is cut off while many callers come, and
-// the scheduler learns of it half a second later. Until then each forecast is
-// too short.
+// A fifth of the workers is cut off while many callers arrive, and the
+// scheduler learns of it half a second later. Until then each forecast is too
+// short.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,7 +31,7 @@
   EXPECT_EQ(correctedForecast(Skill, 100ms, Start), 100ms);
 }
 
-TEST(ForecastSkillTest, ACorrectionFades) {
+TEST(ForecastSkillTest, ACorrectionDecays) {
   ForecastSkill Skill;
   for (int I = 0; I < 30; ++I)
     learnForecast(Skill, 100ms, 400ms, Start);
@@ -39,7 +39,7 @@
   EXPECT_LT(correctedForecast(Skill, 100ms, Start + 5s), 110ms);
 }
 
-TEST(ForecastSkillTest, WaitsOfMillisecondsSayNothing) {
+TEST(ForecastSkillTest, WaitsOfMillisecondsAreIgnored) {
   ForecastSkill Skill;
   for (int I = 0; I < 50; ++I)
     learnForecast(Skill, Duration(0), 2ms, Start);
--- a/src/scheduling/tests/poolsizetest.cpp
+++ b/src/scheduling/tests/poolsizetest.cpp
@@ -1,4 +1,4 @@
-//===- poolsizetest.cpp - Which racks share a pool ------------------------===//
+//===- poolsizetest.cpp - Tests of rack grouping --------------------------===//
 
 #include "scheduling/poolsize.h"
 
@@ -40,7 +40,7 @@
   EXPECT_EQ(sizesOf(evenRacks(4, 50), TargetWorkersPerPool).size(), 4U);
 }
 
-TEST(PoolSizeTest, AGroupBearsTheNameOfItsFirstRack) {
+TEST(PoolSizeTest, AGroupIsNamedAfterItsFirstRack) {
   auto Groups = groupRacks({{"b", 20}, {"a", 20}}, TargetWorkersPerPool);
   EXPECT_EQ(Groups["a"], "a");
   EXPECT_EQ(Groups["b"], "a");
--- a/src/scheduling/tests/steadyloadtest.cpp
+++ b/src/scheduling/tests/steadyloadtest.cpp
@@ -1,4 +1,4 @@
-//===- steadyloadtest.cpp - Telling many of a load that jumps -------------===//
+//===- steadyloadtest.cpp - Tests of smoothed load reports ----------------===//
 
 #include "scheduling/steadyload.h"
 #include "framework/random/random.h"
@@ -14,35 +14,35 @@
 
 constexpr Duration Interval = 300ms;
 
-TEST(SteadyLoadTest, TheFirstValueIsToldAsItIs) {
+TEST(SteadyLoadTest, TheFirstValueIsReportedUnchanged) {
   SmoothedValue Value;
   observe(Value, 0.6, Time());
   EXPECT_DOUBLE_EQ(valueToReport(Value, 0.06), 0.6);
 }
 
-// Forty places of which two thirds are busy, each task shorter than the
-// interval: what is seen each time has nothing to do with the last time.
-TEST(SteadyLoadTest, JumpsAroundTheSameUseAreSeldomTold) {
+// Of forty slots two thirds are busy, and each task is shorter than the
+// interval, so successive samples are independent.
+TEST(SteadyLoadTest, JumpsAroundTheSameLoadAreSeldomReported) {
   Random Rng(7);
   SmoothedValue Value;
   double Last = -1;
   int Reports = 0;
   Time Now{};
-  constexpr int Questions = 1000;
-  constexpr int Places = 40;
-  for (int I = 0; I < Questions; ++I, Now += Interval) {
+  constexpr int Polls = 1000;
+  constexpr int Slots = 40;
+  for (int I = 0; I < Polls; ++I, Now += Interval) {
     int Busy = 0;
-    for (int Place = 0; Place < Places; ++Place)
+    for (int Slot = 0; Slot < Slots; ++Slot)
       Busy += Rng.below(3) < 2 ? 1 : 0;
-    observe(Value, static_cast<double>(Busy) / Places, Now);
-    double Shown = valueToReport(Value, 1.0 / 16);
-    Reports += Shown != Last ? 1 : 0;
-    Last = Shown;
+    observe(Value, static_cast<double>(Busy) / Slots, Now);
+    double Reported = valueToReport(Value, 1.0 / 16);
+    Reports += Reported != Last ? 1 : 0;
+    Last = Reported;
   }
-  EXPECT_LT(Reports, Questions / 5);
+  EXPECT_LT(Reports, Polls / 5);
 }
 
-TEST(SteadyLoadTest, ABurstIsToldWithinTwoQuestions) {
+TEST(SteadyLoadTest, ABurstIsReportedWithinTwoPolls) {
   SmoothedValue Value;
   Time Now{};
   for (int I = 0; I < 10; ++I, Now += Interval) {
@@ -55,7 +55,7 @@
   EXPECT_GT(valueToReport(Value, 1.0 / 16), 0.8);
 }
 
-TEST(SteadyLoadTest, AnEmptyPoolIsToldAsEmpty) {
+TEST(SteadyLoadTest, AnEmptyPoolIsReportedAsEmpty) {
   SmoothedValue Value;
   Time Now{};
   observe(Value, 0.05, Now);
--- a/src/scheduling/tests/suspiciontest.cpp
+++ b/src/scheduling/tests/suspiciontest.cpp
@@ -1,4 +1,4 @@
-//===- suspiciontest.cpp - Which task crashes its workers -----------------===//
+//===- suspiciontest.cpp - Tests of crash detection -----------------------===//
 
 #include "scheduling/suspicion.h"
 
@@ -8,7 +8,7 @@
 namespace geraniumbay::scheduling {
 namespace {
 
-TEST(SuspicionTest, ATaskThatCrashesASecondWorkerAloneIsGuilty) {
+TEST(SuspicionTest, ATaskThatCrashesASecondWorkerAloneIsQuarantined) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Crashed, false);
   EXPECT_TRUE(Task.Suspected);
@@ -17,7 +17,7 @@
   EXPECT_TRUE(Task.Quarantined);
 }
 
-TEST(SuspicionTest, ATaskBesideOthersIsGuiltyAfterThreeCrashesOnly) {
+TEST(SuspicionTest, ATaskBesideOthersIsQuarantinedAfterThreeCrashesOnly) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Crashed, false);
   noteLoss(Task, WorkerLoss::Crashed, false);
@@ -26,8 +26,8 @@
   EXPECT_TRUE(Task.Quarantined);
 }
 
-// A worker that is cut off says nothing against what runs there; twice is
-// worth a trial.
+// A worker that is cut off is no evidence against its tasks, but a second such
+// loss makes a task a suspect.
 TEST(SuspicionTest, SilentWorkersAreNoCrashes) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Silent, true);
@@ -37,13 +37,13 @@
   EXPECT_FALSE(Task.Quarantined);
 }
 
-// Whatever was seen, a task is started three times at most while each start
-// costs a worker and it runs alone once suspected.
+// Whatever the sequence of losses, a task is started three times at most if
+// each start costs a worker and it runs alone once suspected.
 RC_GTEST_PROP(SuspicionProperties, ACrashingTaskIsStartedThreeTimesAtMost,
-              (const std::vector<std::uint8_t> &Seen)) {
+              (const std::vector<std::uint8_t> &Losses)) {
   Suspicion Task;
   std::size_t Starts = 0;
-  for (std::uint8_t Each : Seen) {
+  for (std::uint8_t Each : Losses) {
     if (Task.Quarantined)
       break;
     ++Starts;
--- a/src/scheduling/tests/workerpacetest.cpp
+++ b/src/scheduling/tests/workerpacetest.cpp
@@ -1,8 +1,8 @@
-//===- workerpacetest.cpp - Workers that turn slow ------------------------===//
+//===- workerpacetest.cpp - Tests of worker speed -------------------------===//
 //
-// The pattern: a sixth of the workers takes six times as long for some seconds
-// and says nothing; declared times are wrong by 40%, and sound workers differ
-// by a quarter either way.
+// A sixth of the workers becomes six times slower for some seconds without
+// reporting it, declared times are off by 40%, and healthy workers differ by a
+// quarter either way.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,8 +20,8 @@
 
 const Time Start{100s};
 
-/// Of a sound worker, at random: the declared time is off by 40%.
-Duration soundTime(Random &Rng, Duration Expected) {
+/// A random run time on a healthy worker; the declared time is off by 40%.
+Duration healthyRunTime(Random &Rng, Duration Expected) {
   double Sum = 0;
   for (int I = 0; I < 12; ++I)
     Sum += Rng.unit();
@@ -37,26 +37,26 @@
   EXPECT_GE(paceFactor(Pace, Start + 200ms), SlowFactor);
 }
 
-TEST(WorkerPaceTest, ATaskThatStillRunsTellsBeforeItEnds) {
+TEST(WorkerPaceTest, ARunningTaskRevealsASlowWorker) {
   EXPECT_EQ(paceFactorOf(60ms, 100ms), 1);
   EXPECT_GE(paceFactorOf(60ms, 200ms), SlowFactor);
 }
 
-TEST(WorkerPaceTest, SoundWorkersAreSeldomTakenForSlow) {
+TEST(WorkerPaceTest, HealthyWorkersAreSeldomMarkedSlow) {
   Random Rng(7);
   WorkerPace Pace;
   int Slow = 0;
   constexpr int Tasks = 10'000;
   for (int I = 0; I < Tasks; ++I) {
     Time Now = Start + I * 100ms;
-    learnPace(Pace, 200ms, soundTime(Rng, 200ms), Now);
+    learnPace(Pace, 200ms, healthyRunTime(Rng, 200ms), Now);
     Slow += paceFactor(Pace, Now) >= SlowFactor ? 1 : 0;
   }
-  // Each costs a few tasks elsewhere.
+  // A false positive diverts a few tasks to other workers.
   EXPECT_LT(Slow, Tasks / 100);
 }
 
-TEST(WorkerPaceTest, WhatWasLearnedFades) {
+TEST(WorkerPaceTest, TheLearnedFactorDecays) {
   WorkerPace Pace;
   for (int I = 0; I < 10; ++I)
     learnPace(Pace, 60ms, 390ms, Start);
--- a/src/scheduling/usefulness.cpp
+++ b/src/scheduling/usefulness.cpp
@@ -1,6 +1,6 @@
-//===- usefulness.cpp - Until when an answer is of use --------------------===//
+//===- usefulness.cpp - Deadlines of answers ------------------------------===//
 //
-// Arithmetic on objectives.
+// Computes both deadlines from the objective.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/scheduling/usefulness.h
+++ b/src/scheduling/usefulness.h
@@ -1,9 +1,9 @@
-//===- usefulness.h - Until when an answer is of use ------------*- C++ -*-===//
+//===- usefulness.h - Deadlines of answers ----------------------*- C++ -*-===//
 //
-// A queue's objective says how long a job may take beyond its own work. An
-// answer within it is in time; up to LateFactor times as long it is late, but
-// of some use; after that it is of none, and its room is better given to
-// others.
+// A queue's objective limits how long a job may take beyond its own work. An
+// answer within it is in time. Up to LateFactor times as long it is late but
+// still useful; after that it is useless, and its capacity is better given to
+// other jobs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,30 +14,31 @@
 
 namespace geraniumbay::scheduling {
 
-/// An answer this many times later than the objective is of no use any more.
-/// The configuration names the objective only; the users' contract names this.
+/// An answer that takes more than this many times the objective is useless. Not
+/// configurable: the configuration names the objective only, and the factor is
+/// part of the contract with users.
 constexpr int LateFactor = 3;
 
-/// What a queue promises its callers.
+/// The latency objective of a queue.
 struct Objective {
-  /// A job is in time within this many times its longest chain of work...
+  /// A job is in time if it ends within this many times its critical path...
   double Stretch = 1;
-  /// ...and this much more. Without it and without stretch there is none.
+  /// ...plus this. With neither set there is no objective.
   Duration Target{0};
 
   bool isSet() const { return Stretch > 1 || Target.count() > 0; }
   bool operator==(const Objective &) const = default;
 };
 
-/// The moments that an answer's use depends on.
+/// An answer is in time until the soft deadline, and useful until the hard one.
 struct AnswerDeadlines {
   Time SoftDeadline;
   Time HardDeadline;
 };
 
-/// Of a job that its caller sent at \p Sent, whose longest chain of work takes
-/// \p Chain, and whose caller waits until \p CallerDeadline. Without an
-/// objective only the caller's own limit counts.
+/// Deadlines of a job that its caller sent at \p SentAt, whose critical path
+/// takes \p Chain, and whose caller waits until \p CallerDeadline. Without an
+/// objective only the caller's deadline counts.
 AnswerDeadlines answerDeadlines(const Objective &Goal, Duration Chain,
                                 Time SentAt, Time CallerDeadline);
 
--- a/src/scheduling/workerpace.cpp
+++ b/src/scheduling/workerpace.cpp
@@ -1,6 +1,6 @@
-//===- workerpace.cpp - How fast a worker is ------------------------------===//
+//===- workerpace.cpp - Speed of a worker ---------------------------------===//
 //
-// Exponentially weighted means that fade.
+// Exponentially weighted mean that decays over time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,16 +15,16 @@
 
 namespace {
 
-/// Two tasks in a row that take six times as long make a worker slow; one whose
-/// declared time is off by the usual 40% does not.
+/// Two consecutive tasks that take six times as long mark a worker as slow; one
+/// whose declared time is off by the usual 40% does not.
 constexpr double Weight = 0.35;
-/// A single task says no more than this, in either direction.
+/// Limits the influence of a single task, in either direction.
 constexpr double MaxLogFactor = 2.0;
-/// After this time without a task half of what was learned has faded: a worker
-/// that turned slow for some seconds gets single tasks again.
+/// Half-life of the learned factor: a worker that was slow for some seconds is
+/// tried with single tasks again.
 constexpr Duration HalfLife = std::chrono::seconds(2);
-/// A task that runs must have gone this many times over its expected time, and
-/// this much more, to say something: one in a hundred does by chance.
+/// A running task counts only once it exceeds its expected time by this factor
+/// and this margin, which one in a hundred does by chance.
 constexpr double OverrunFactor = 2.5;
 constexpr Duration OverrunMargin = std::chrono::milliseconds(40);
 
--- a/src/scheduling/workerpace.h
+++ b/src/scheduling/workerpace.h
@@ -1,10 +1,10 @@
-//===- workerpace.h - How fast a worker is ----------------------*- C++ -*-===//
+//===- workerpace.h - Speed of a worker -------------------------*- C++ -*-===//
 //
-// Workers differ in speed, and one may turn slow by some times for seconds
-// without a word. Its own tasks tell: how long they took against what was
-// expected, and how long those that run have taken so far. A job of eight tasks
-// meets one of eight slow workers among 48 three times in four, and ends with
-// its slowest task.
+// Workers differ in speed, and one may become several times slower for seconds
+// without reporting it. The run times of its tasks reveal that, both of those
+// that ended and of those still running. A job of eight tasks meets one of
+// eight slow workers among 48 three times in four, and ends with its slowest
+// task.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,25 +15,27 @@
 
 namespace geraniumbay::scheduling {
 
-/// What was learned of one worker.
+/// Learned speed of one worker.
 struct WorkerPace {
   /// Decaying mean of ln(took / expected).
   double LogFactor = 0;
   Time LearnedAt{};
 };
 
-/// Takes a task that took \p Took where \p Expected was expected.
+/// Updates the pace with a task that ran for \p RunTime where \p Expected was
+/// expected.
 void learnPace(WorkerPace &Pace, Duration Expected, Duration RunTime, Time Now);
 
-/// How many times as long as expected tasks take there, as far as is known; 1
-/// if nothing is. What was learned fades.
+/// How many times as long as expected tasks run there; 1 if nothing is known.
+/// Decays over time.
 double paceFactor(const WorkerPace &Pace, Time Now);
 
-/// The same from a task that still runs after \p Age; 1 if it says nothing yet.
+/// The same, estimated from a task that still runs after \p Age; 1 as long as
+/// that shows nothing.
 double paceFactorOf(Duration Expected, Duration Age);
 
-/// From this factor on a worker counts as slow. Objectives of 1.6 times the
-/// work leave no room for it, and the sound ones differ by half of it.
+/// A worker from this factor on counts as slow. Objectives of 1.6 times the
+/// work leave no room for it, and healthy workers differ by half of it.
 constexpr double SlowFactor = 2.0;
 
 } // namespace geraniumbay::scheduling
