--- a/src/jobs/internal/evacuationmoves.cpp
+++ b/src/jobs/internal/evacuationmoves.cpp
@@ -55,7 +55,7 @@
   for (const auto &[Id, With] : Sessions_) {
     const WorkerInfo &Info = With.Info;
     if (Info.Service != Of.Service || Info.Draining ||
-        !carries(Info, Step.RequiredLabel) || !isLargeEnough(With, Step.Needs))
+        !hasLabel(Info, Step.RequiredLabel) || !isLargeEnough(With, Step.Needs))
       continue;
     if (!With.Evacuated)
       return false;
--- a/src/jobs/internal/placement.cpp
+++ b/src/jobs/internal/placement.cpp
@@ -34,7 +34,7 @@
 }
 
 bool suits(const WorkerSession &On, const StepSpec &Step, const TaskId &Id) {
-  if (!carries(On.Info, Step.RequiredLabel))
+  if (!hasLabel(On.Info, Step.RequiredLabel))
     return false;
   return Step.MaxPerWorker == 0 || runsOfStep(On, Id) < Step.MaxPerWorker;
 }
--- a/src/jobs/internal/poolmember.cpp
+++ b/src/jobs/internal/poolmember.cpp
@@ -175,8 +175,8 @@
   LeaseSettings Lease = Needs_.Lease;
   OwnerLoss Loss =
       Again ? OwnerLoss() : earlierOwnerLoss(View_, Needs_.Clock.now());
-  Lease.EarlierOwner = Loss.LetGo ? Duration(0) : OwnerSilence;
-  Lease.KeepOrphans = Again ? KeepOrphans : keepOrphans(Loss);
+  Lease.EarlierOwnerSilence = Loss.LetGo ? Duration(0) : OwnerSilence;
+  Lease.OrphanRetention = Again ? KeepOrphans : keepOrphans(Loss);
   // What an owner has not found itself may be of a job that has gone elsewhere
   // since its owner died. Its lease must come to an end.
   Lease.RenewOrphans = Loss.LetGo && Loss.Settled;
--- a/src/jobs/internal/scheduler.cpp
+++ b/src/jobs/internal/scheduler.cpp
@@ -33,8 +33,9 @@
       Batches_(Needs_.Log
                    ? std::make_unique<Batcher>(*Needs_.Log, Needs_.Timers)
                    : nullptr),
-      TakenOverAt_(Needs_.Clock.now() + Lease.EarlierOwner + leaseBound(Lease)),
-      OrphansUntil_(Needs_.Clock.now() + Lease.KeepOrphans) {
+      TakenOverAt_(Needs_.Clock.now() + Lease.EarlierOwnerSilence +
+                   leaseBound(Lease)),
+      OrphansUntil_(Needs_.Clock.now() + Lease.OrphanRetention) {
   std::size_t Active = 0;
   for (const auto &[Id, Each] : Needs_.Store.Jobs) {
     if (Each.State == JobState::Active) {
--- a/src/jobs/internal/workersession.cpp
+++ b/src/jobs/internal/workersession.cpp
@@ -20,9 +20,9 @@
 
 /// Workers announce themselves every 1.5 s, and announcements arrive by way of
 /// control.
-constexpr Duration AnnouncedAgainWithin = std::chrono::milliseconds(2500);
+constexpr Duration AnnouncementDelay = std::chrono::milliseconds(2500);
 /// Well above the few milliseconds in which a worker answers an order.
-constexpr Duration UsualAnswer = std::chrono::milliseconds(50);
+constexpr Duration UsualAnswerTime = std::chrono::milliseconds(50);
 
 bool lists(const std::vector<RunningTask> &Running, const TaskId &Task,
            RunNumber Number) {
@@ -164,7 +164,7 @@
                      [&](const auto &Entry) {
                        const Run &Each = Entry.second;
                        return !Each.Confirmed && !Each.Adopted &&
-                              Now - Each.Since >= UsualAnswer;
+                              Now - Each.Since >= UsualAnswerTime;
                      });
 }
 
@@ -213,7 +213,7 @@
   return !Refused && fits(Session.Info.Capacity, Wanted);
 }
 
-bool carries(const WorkerInfo &Info, const std::string &Label) {
+bool hasLabel(const WorkerInfo &Info, const std::string &Label) {
   return Label.empty() || std::find(Info.Labels.begin(), Info.Labels.end(),
                                     Label) != Info.Labels.end();
 }
@@ -225,7 +225,7 @@
 void noteCapacityRefusal(WorkerSession &Session, const Resources &Needs,
                          Time Now) {
   Session.Refused = sumOf(Session.Used, Needs);
-  Session.RefusedUntil = Now + AnnouncedAgainWithin;
+  Session.RefusedUntil = Now + AnnouncementDelay;
 }
 
 bool hostsSuspect(const WorkerSession &Session) {
--- a/src/jobs/internal/workersession.h
+++ b/src/jobs/internal/workersession.h
@@ -133,10 +133,10 @@
   Duration KillTime = std::chrono::milliseconds(50);
   /// An unreachable earlier owner has noticed that it is cut off, and renews no
   /// lease, after this time (see OwnerSilence in poolview.h).
-  Duration EarlierOwner{0};
+  Duration EarlierOwnerSilence{0};
   /// How long runs left by an earlier owner are kept, so that entries can
   /// submit their jobs again.
-  Duration KeepOrphans{0};
+  Duration OrphanRetention{0};
   /// The earlier owner released its ownership, so the leases of its runs may be
   /// renewed too.
   bool RenewOrphans = false;
@@ -219,7 +219,7 @@
 bool hasFreeCapacity(const WorkerSession &Session, const Resources &Needs,
                      Time Now);
 /// Whether the worker carries \p Label; always true for an empty one.
-bool carries(const WorkerInfo &Info, const std::string &Label);
+bool hasLabel(const WorkerInfo &Info, const std::string &Label);
 /// Whether the worker could fit \p Needs if it were idle.
 bool isLargeEnough(const WorkerSession &Session, const Resources &Needs);
 /// Records that the worker refused \p Needs beside its runs for lack of
--- a/src/scheduling/askpace.cpp
+++ b/src/scheduling/askpace.cpp
@@ -12,22 +12,22 @@
 
 Duration pollInterval(std::size_t Entries) {
   constexpr Duration Second = std::chrono::seconds(1);
-  Duration Even = Second * Entries / MaxPollsPerSecond;
-  return std::clamp(Even, MinPollInterval, MaxPollInterval);
+  Duration EvenShare = Second * Entries / MaxPollsPerSecond;
+  return std::clamp(EvenShare, MinPollInterval, MaxPollInterval);
 }
 
 Duration urgentPollInterval(Duration UsualInterval, std::size_t Unanswered) {
   constexpr Duration First = std::chrono::milliseconds(100);
-  constexpr std::size_t MostDoublings = 3;
-  constexpr int UrgentShare = 3;
-  Duration Backoff = First * (1U << std::min(Unanswered, MostDoublings));
-  return std::max(Backoff, UsualInterval / UrgentShare);
+  constexpr std::size_t MaxDoublings = 3;
+  constexpr int UrgentDivisor = 3;
+  Duration Backoff = First * (1U << std::min(Unanswered, MaxDoublings));
+  return std::max(Backoff, UsualInterval / UrgentDivisor);
 }
 
 Duration replyTimeout(std::size_t Unanswered) {
   constexpr Duration First = std::chrono::milliseconds(400);
-  constexpr std::size_t MostDoublings = 2;
-  return First * (1U << std::min(Unanswered, MostDoublings));
+  constexpr std::size_t MaxDoublings = 2;
+  return First * (1U << std::min(Unanswered, MaxDoublings));
 }
 
 } // namespace geraniumbay::scheduling
