--- a/src/jobs/internal/startorders.cpp
+++ b/src/jobs/internal/startorders.cpp
@@ -76,7 +76,7 @@
                           checkStart(Worker, Task, Number);
                       });
   Duration Usual = scheduling::orderValidity(Timing_, Lease_.MinOrderValidity,
-                                             Lease_.Longest);
+                                             Lease_.LongestLease);
   if (Usual < Valid)
     Needs_.Timers.after(Usual, [this, Alive = Alive_, Worker = On.Info.Worker,
                                 Task = Task.Id, Number = Order.Run] {
--- a/src/jobs/internal/workersession.cpp
+++ b/src/jobs/internal/workersession.cpp
@@ -106,7 +106,7 @@
 }
 
 Duration leaseBound(const LeaseSettings &Settings) {
-  return leaseBound(Settings, Settings.Longest);
+  return leaseBound(Settings, Settings.LongestLease);
 }
 
 WorkerMillis leaseUntil(const WorkerSession &Session,
@@ -130,9 +130,9 @@
   bool Renewed =
       Session.RenewedAt && Now - *Session.RenewedAt < Settings.FreshLease;
   if (!Renewed || Session.Runs.empty())
-    return Settings.Longest;
+    return Settings.LongestLease;
   return scheduling::orderValidity(Timing, Settings.MinOrderValidity,
-                                   Settings.Longest);
+                                   Settings.LongestLease);
 }
 
 bool isHoldOverdue(const WorkerSession &Session, const LeaseSettings &Settings,
--- a/src/jobs/internal/workersession.h
+++ b/src/jobs/internal/workersession.h
@@ -126,7 +126,7 @@
 /// Lease durations and hold intervals. They follow from the limits of the
 /// platform; a lease is renewed well before half of it has passed.
 struct LeaseSettings {
-  Duration Longest = std::chrono::milliseconds(1000);
+  Duration LongestLease = std::chrono::milliseconds(1000);
   /// A worker's clock may be this much slower than this one (in percent).
   int SlowClockPercent = 2;
   /// Time that a worker takes to kill tasks whose lease has expired.
--- a/src/jobs/internal/workerwatch.cpp
+++ b/src/jobs/internal/workerwatch.cpp
@@ -83,9 +83,9 @@
   // A lease keeps all runs of the worker alive. So it is renewed only if all of
   // them are known, and not for a silent worker, whose lease must expire.
   if (Session.RunsKnown && !Session.Silent && !Session.HasForeignRuns) {
-    Order.LeaseUntil = leaseUntil(Session, Lease_, Lease_.Longest, Now);
+    Order.LeaseUntil = leaseUntil(Session, Lease_, Lease_.LongestLease, Now);
     Order.Wait = nextHoldWait(Session, Lease_, Timing_, Now);
-    noteLease(Session, Lease_, Lease_.Longest, Now);
+    noteLease(Session, Lease_, Lease_.LongestLease, Now);
   }
   Session.HoldInFlight = true;
   Session.HoldSent = Now;
@@ -286,7 +286,7 @@
          Run{Task.Run, Step.Needs, Now, true, false, Session.Clock,
              expectedRun(TaskJob, Step, Now), true, isSuspected(Task.Task)});
   // It runs under a lease that an earlier owner granted, possibly just now.
-  noteLease(Session, Lease_, Lease_.Longest, Now);
+  noteLease(Session, Lease_, Lease_.LongestLease, Now);
   Places_[Task.Task] = Session.Info.Worker;
   RunNumber &Last = LastRuns_[Task.Task];
   Last = std::max(Last, Task.Run);
--- a/src/jobs/jobssetup.cpp
+++ b/src/jobs/jobssetup.cpp
@@ -19,7 +19,7 @@
                      Duration LongestLease,
                      std::set<DataCentreId> DataCentres) {
   LeaseSettings Lease;
-  Lease.Longest = LongestLease;
+  Lease.LongestLease = LongestLease;
   JobServiceNeeds Needs{
       Services.get<control::IReplicatedLog>(
           control::service_name::ReplicatedLog),
@@ -41,7 +41,7 @@
                      std::vector<Endpoint> ControlVms, RoutingReader Reader,
                      Duration LongestLease) {
   LeaseSettings Lease;
-  Lease.Longest = LongestLease;
+  Lease.LongestLease = LongestLease;
   EntryNeeds Needs{Services.get<IWorkerCalls>(service_name::WorkerCalls),
                    Services.get<IClock>(framework_name::Clock),
                    Services.get<ITimers>(framework_name::Timers),
--- a/src/jobs/tests/fakeworkers.cpp
+++ b/src/jobs/tests/fakeworkers.cpp
@@ -269,8 +269,8 @@
         Again.LeaseUntil.reset();
         auto Open = std::make_shared<bool>(true);
         auto Later = [this, Again, Answer, Open, Id = To.Worker] {
-          bool Gone = All_.Workers_[Id].Down;
-          if (std::exchange(*Open, false) && !Gone)
+          bool Down = All_.Workers_[Id].Down;
+          if (std::exchange(*Open, false) && !Down)
             Answer(All_.look(All_.Workers_[Id], Again));
         };
         Target.Waiting = Later;
--- a/src/scheduling/runtimes.cpp
+++ b/src/scheduling/runtimes.cpp
@@ -31,8 +31,8 @@
   Mean += (Sample - Mean) * Weight;
 }
 
-double logError(double Predicted, double Ran) {
-  return std::abs(std::log(Predicted / Ran));
+double logError(double Predicted, double RunTime) {
+  return std::abs(std::log(Predicted / RunTime));
 }
 
 double predict(const RunTimeModel &Model, double Declared) {
@@ -45,16 +45,16 @@
              : Model.Mean;
 }
 
-void learnDeclared(RunTimeModel &Model, double Declared, double Ran,
+void learnDeclared(RunTimeModel &Model, double Declared, double RunTime,
                    double Weight) {
   double Scaled = Declared * std::exp(Model.LogFactor);
-  double DeclaredError = logError(Declared, Ran);
+  double DeclaredError = logError(Declared, RunTime);
   double MeanError =
-      Model.Samples == 0 ? DeclaredError : logError(Model.Mean, Ran);
+      Model.Samples == 0 ? DeclaredError : logError(Model.Mean, RunTime);
   blend(Model.DeclaredError, DeclaredError, Weight);
-  blend(Model.ScaledError, logError(Scaled, Ran), Weight);
+  blend(Model.ScaledError, logError(Scaled, RunTime), Weight);
   blend(Model.MeanError, MeanError, Weight);
-  blend(Model.LogFactor, std::log(Ran / Declared), Weight);
+  blend(Model.LogFactor, std::log(RunTime / Declared), Weight);
 }
 
 } // namespace
@@ -66,8 +66,9 @@
   return std::max(fromSeconds(predict(Model, seconds(Declared))), Duration(1));
 }
 
-void learnRun(RunTimeModel &Model, Duration Declared, Duration Ran, Time Now) {
-  double RanSeconds = seconds(std::max(Ran, Duration(1)));
+void learnRun(RunTimeModel &Model, Duration Declared, Duration RunTime,
+              Time Now) {
+  double RanSeconds = seconds(std::max(RunTime, Duration(1)));
   double Weight = std::max(MinWeight, 1.0 / (Model.Samples + 1));
   if (Declared > Duration(0))
     learnDeclared(Model, seconds(Declared), RanSeconds, Weight);
--- a/src/scheduling/runtimes.h
+++ b/src/scheduling/runtimes.h
@@ -22,9 +22,9 @@
   Time LearnedAt{};
   /// Mean run time in seconds.
   double Mean = 0;
-  /// Mean of ln(ran / declared) over the tasks with a declared time.
+  /// Mean of ln(actual / declared) over the tasks with a declared time.
   double LogFactor = 0;
-  /// Mean |ln(predicted / ran)| of the three predictors. Invariant: above or
+  /// Mean |ln(predicted / actual)| of the three predictors. Invariant: above or
   /// equal to 0, and meaningful only when Samples is above 0.
   double DeclaredError = 0;
   double ScaledError = 0;
@@ -38,8 +38,9 @@
 Duration expectedRun(const RunTimeModel &Model, Duration Declared,
                      Duration Unknown, Time Now);
 
-/// Updates the model with the run time \p Ran of a task that succeeded.
-void learnRun(RunTimeModel &Model, Duration Declared, Duration Ran, Time Now);
+/// Updates the model with the run time \p RunTime of a task that succeeded.
+void learnRun(RunTimeModel &Model, Duration Declared, Duration RunTime,
+              Time Now);
 
 } // namespace geraniumbay::scheduling
 
