--- a/src/scheduling/askpace.cpp
+++ b/src/scheduling/askpace.cpp
@@ -1,6 +1,6 @@
-//===- askpace.cpp - How often entries ask the leader ---------------------===//
+//===- askpace.cpp - Poll interval of entries -----------------------------===//
 //
-// A bounded rate shared by all.
+// Shares a bounded poll rate evenly; unanswered polls back off exponentially.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,24 +10,24 @@
 
 namespace geraniumbay::scheduling {
 
-Duration askPause(std::size_t Entries) {
+Duration pollInterval(std::size_t Entries) {
   constexpr Duration Second = std::chrono::seconds(1);
-  Duration Even = Second * Entries / QuestionsPerSecond;
-  return std::clamp(Even, ShortestAskPause, LongestAskPause);
+  Duration EvenShare = Second * Entries / MaxPollsPerSecond;
+  return std::clamp(EvenShare, MinPollInterval, MaxPollInterval);
 }
 
-Duration urgentPause(Duration Told, std::size_t Unanswered) {
+Duration urgentPollInterval(Duration UsualInterval, std::size_t Unanswered) {
   constexpr Duration First = std::chrono::milliseconds(100);
-  constexpr std::size_t MostDoublings = 3;
-  constexpr int UrgentShare = 3;
-  Duration Backoff = First * (1U << std::min(Unanswered, MostDoublings));
-  return std::max(Backoff, Told / UrgentShare);
+  constexpr std::size_t MaxDoublings = 3;
+  constexpr int UrgentDivisor = 3;
+  Duration Backoff = First * (1U << std::min(Unanswered, MaxDoublings));
+  return std::max(Backoff, UsualInterval / UrgentDivisor);
 }
 
-Duration answerPatience(std::size_t Unanswered) {
+Duration replyTimeout(std::size_t Unanswered) {
   constexpr Duration First = std::chrono::milliseconds(400);
-  constexpr std::size_t MostDoublings = 2;
-  return First * (1U << std::min(Unanswered, MostDoublings));
+  constexpr std::size_t MaxDoublings = 2;
+  return First * (1U << std::min(Unanswered, MaxDoublings));
 }
 
 } // namespace geraniumbay::scheduling
--- a/src/scheduling/tests/suspiciontest.cpp
+++ b/src/scheduling/tests/suspiciontest.cpp
@@ -1,4 +1,4 @@
-//===- suspiciontest.cpp - Which task crashes its workers -----------------===//
+//===- suspiciontest.cpp - Tests of crash detection -----------------------===//
 
 #include "scheduling/suspicion.h"
 
@@ -8,43 +8,43 @@
 namespace geraniumbay::scheduling {
 namespace {
 
-TEST(SuspicionTest, ATaskThatCrashesASecondWorkerAloneIsGuilty) {
+TEST(SuspicionTest, ATaskThatCrashesASecondWorkerAloneIsQuarantined) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Crashed, false);
   EXPECT_TRUE(Task.Suspected);
-  EXPECT_FALSE(Task.Guilty);
+  EXPECT_FALSE(Task.Quarantined);
   noteLoss(Task, WorkerLoss::Crashed, true);
-  EXPECT_TRUE(Task.Guilty);
+  EXPECT_TRUE(Task.Quarantined);
 }
 
-TEST(SuspicionTest, ATaskBesideOthersIsGuiltyAfterThreeCrashesOnly) {
+TEST(SuspicionTest, ATaskBesideOthersIsQuarantinedAfterThreeCrashesOnly) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Crashed, false);
   noteLoss(Task, WorkerLoss::Crashed, false);
-  EXPECT_FALSE(Task.Guilty);
+  EXPECT_FALSE(Task.Quarantined);
   noteLoss(Task, WorkerLoss::Crashed, false);
-  EXPECT_TRUE(Task.Guilty);
+  EXPECT_TRUE(Task.Quarantined);
 }
 
-// A worker that is cut off says nothing against what runs there; twice is
-// worth a trial.
+// A worker that is cut off is no evidence against its tasks, but a second such
+// loss makes a task a suspect.
 TEST(SuspicionTest, SilentWorkersAreNoCrashes) {
   Suspicion Task;
   noteLoss(Task, WorkerLoss::Silent, true);
   EXPECT_FALSE(Task.Suspected);
   noteLoss(Task, WorkerLoss::Silent, true);
   EXPECT_TRUE(Task.Suspected);
-  EXPECT_FALSE(Task.Guilty);
+  EXPECT_FALSE(Task.Quarantined);
 }
 
-// Whatever was seen, a task is started three times at most while each start
-// costs a worker and it runs alone once suspected.
+// Whatever the sequence of losses, a task is started three times at most if
+// each start costs a worker and it runs alone once suspected.
 RC_GTEST_PROP(SuspicionProperties, ACrashingTaskIsStartedThreeTimesAtMost,
-              (const std::vector<std::uint8_t> &Seen)) {
+              (const std::vector<std::uint8_t> &Losses)) {
   Suspicion Task;
   std::size_t Starts = 0;
-  for (std::uint8_t Each : Seen) {
-    if (Task.Guilty)
+  for (std::uint8_t Each : Losses) {
+    if (Task.Quarantined)
       break;
     ++Starts;
     noteLoss(Task, static_cast<WorkerLoss>(Each % 3), Task.Suspected);
@@ -53,8 +53,8 @@
 }
 
 TEST(SuspicionTest, SomeWorkersAreLeftToOtherTasks) {
-  EXPECT_EQ(mostWorkersOfSuspects(3), 1U);
-  EXPECT_EQ(mostWorkersOfSuspects(48), 8U);
+  EXPECT_EQ(maxWorkersForSuspects(3), 1U);
+  EXPECT_EQ(maxWorkersForSuspects(48), 8U);
 }
 
 } // namespace
--- a/src/scheduling/workerpace.cpp
+++ b/src/scheduling/workerpace.cpp
@@ -1,6 +1,6 @@
-//===- workerpace.cpp - How fast a worker is ------------------------------===//
+//===- workerpace.cpp - Speed of a worker ---------------------------------===//
 //
-// Exponentially weighted means that fade.
+// Exponentially weighted mean that decays over time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,39 +15,41 @@
 
 namespace {
 
-/// Two tasks in a row that take six times as long make a worker slow; one whose
-/// declared time is off by the usual 40% does not.
+/// Two consecutive tasks that take six times as long mark a worker as slow; one
+/// whose declared time is off by the usual 40% does not.
 constexpr double Weight = 0.35;
-/// A single task says no more than this, in either direction.
-constexpr double MostLog = 2.0;
-/// After this time without a task half of what was learned has faded: a worker
-/// that turned slow for some seconds gets single tasks again.
+/// Limits the influence of a single task, in either direction.
+constexpr double MaxLogFactor = 2.0;
+/// Half-life of the learned factor: a worker that was slow for some seconds is
+/// tried with single tasks again.
 constexpr Duration HalfLife = std::chrono::seconds(2);
-/// A task that runs must have gone this many times over its expected time, and
-/// this much more, to say something: one in a hundred does by chance.
-constexpr double OverTimes = 2.5;
-constexpr Duration OverMargin = std::chrono::milliseconds(40);
+/// A running task counts only once it exceeds its expected time by this factor
+/// and this margin, which one in a hundred does by chance.
+constexpr double OverrunFactor = 2.5;
+constexpr Duration OverrunMargin = std::chrono::milliseconds(40);
 
 } // namespace
 
-void learnPace(WorkerPace &Pace, Duration Expected, Duration Took, Time Now) {
+void learnPace(WorkerPace &Pace, Duration Expected, Duration RunTime,
+               Time Now) {
   if (Expected.count() <= 0)
     return;
-  double Log = std::clamp(std::log(ratio(Took, Expected)), -MostLog, MostLog);
-  double Known = std::log(paceFactor(Pace, Now));
-  Pace.LogFactor = Known + (Log - Known) * Weight;
+  double Log = std::clamp(std::log(ratio(RunTime, Expected)), -MaxLogFactor,
+                          MaxLogFactor);
+  double Current = std::log(paceFactor(Pace, Now));
+  Pace.LogFactor = Current + (Log - Current) * Weight;
   Pace.LearnedAt = Now;
 }
 
 double paceFactor(const WorkerPace &Pace, Time Now) {
-  return std::exp(faded(Pace.LogFactor, Now - Pace.LearnedAt, HalfLife));
+  return std::exp(decayed(Pace.LogFactor, Now - Pace.LearnedAt, HalfLife));
 }
 
 double paceFactorOf(Duration Expected, Duration Age) {
-  if (Expected.count() <= 0 || Age < OverMargin)
+  if (Expected.count() <= 0 || Age < OverrunMargin)
     return 1;
-  double Factor = ratio(Age - OverMargin, Expected);
-  return Factor >= OverTimes ? Factor : 1;
+  double Factor = ratio(Age - OverrunMargin, Expected);
+  return Factor >= OverrunFactor ? Factor : 1;
 }
 
 } // namespace geraniumbay::scheduling
