--- a/src/jobs/internal/endrecords.cpp
+++ b/src/jobs/internal/endrecords.cpp
@@ -18,9 +18,10 @@
 
 } // namespace
 
-void Scheduler::recordEnds(WorkerSession &On, const HoldFindings &Findings) {
+void Scheduler::recordEnds(WorkerSession &Session,
+                           const HoldFindings &Findings) {
   JobChanges Durable;
-  JobChanges Passing;
+  JobChanges TransientEnds;
   for (const EndedTask &End : Findings.Ended) {
     const TaskRecord *Record = taskOf(End.Task);
     if (End.How != EndKind::Done && Record)
@@ -29,63 +30,64 @@
                 {"step", End.Task.Step},
                 {"index", End.Task.Index},
                 {"run", End.Run.value()},
-                {"worker", On.Info.Worker},
+                {"worker", Session.Info.Worker},
                 {"counts", End.How == EndKind::Failed},
                 {"failures", Record->Failures}});
     if (End.How == EndKind::Other || !Record || Record->Done)
       continue;
     bool Succeeded = End.How == EndKind::Done;
-    noteEnd(On, Succeeded, Record->Failures == 0, Needs_.Clock.now());
-    auto Took = Findings.Took.find(End.Task);
-    if (Succeeded && Took != Findings.Took.end())
-      noteRan(On, End.Task, Took->second);
+    noteEnd(Session, Succeeded, Record->Failures == 0, Deps_.Clock.now());
+    auto RunTime = Findings.Took.find(End.Task);
+    if (Succeeded && RunTime != Findings.Took.end())
+      noteRunTime(Session, End.Task, RunTime->second);
     if (Succeeded)
       FailedAt_.erase(End.Task);
     else
-      FailedAt_[End.Task] = On.Info.Worker;
-    if (On.FailedInRow == DistrustedAfter && !Succeeded)
+      FailedAt_[End.Task] = Session.Info.Worker;
+    if (Session.FailedInRow == DistrustedAfter && !Succeeded)
       logEvent(LogLevel::Warning, Module, "worker_distrusted",
-               {{"worker", On.Info.Worker},
-                {"failed_in_row", On.FailedInRow},
-                {"runs", On.Runs.size()}});
-    JobChanges &Into = isTransient(End.Task.Job) ? Passing : Durable;
+               {{"worker", Session.Info.Worker},
+                {"failed_in_row", Session.FailedInRow},
+                {"runs", Session.Runs.size()}});
+    JobChanges &Into = isTransient(End.Task.Job) ? TransientEnds : Durable;
     Into.Ended.push_back({End.Task, End.Run, End.How == EndKind::Done});
   }
-  WorkerId Worker = On.Info.Worker;
-  std::uint64_t Upto = On.TakenEnd;
+  WorkerId Worker = Session.Info.Worker;
+  std::uint64_t LastEnd = Session.TakenEnd;
   if (Durable.empty())
-    On.RecordedEnd = Upto;
+    Session.RecordedEnd = LastEnd;
   else
-    recordDurably(Worker, Upto, std::move(Durable));
-  apply(Transient_, Passing);
-  committed(Passing);
+    recordDurably(Worker, LastEnd, std::move(Durable));
+  apply(Transient_, TransientEnds);
+  onCommitted(TransientEnds);
 }
 
-void Scheduler::recordDurably(const WorkerId &Worker, std::uint64_t Upto,
+void Scheduler::recordDurably(const WorkerId &Worker, std::uint64_t LastEnd,
                               JobChanges Changes) {
   JobChanges Copy = Changes;
   for (const TaskEnd &End : Changes.Ended)
     Ending_.insert(End.Task);
   Batches_->add(std::move(Changes),
-                [this, Alive = Alive_, Worker, Upto,
-                 Ends = std::move(Copy)](const Outcome<Done> &Was) {
+                [this, Alive = Alive_, Worker, LastEnd,
+                 Ends = std::move(Copy)](const Outcome<Done> &Result) {
                   // Without an answer from the log this leader is none any
                   // more; the next one finds the ends at the worker.
-                  if (!*Alive || !Was)
+                  if (!*Alive || !Result)
                     return;
                   for (const TaskEnd &End : Ends.Ended)
                     Ending_.erase(End.Task);
-                  committed(Ends);
+                  onCommitted(Ends);
                   for (const TaskEnd &End : Ends.Ended)
-                    runRecorded(End.Task.Job);
+                    runRecordingCallbacks(End.Task.Job);
                   if (!*Alive)
                     return;
-                  WorkerSession *With = session(Worker);
-                  if (!With)
+                  WorkerSession *Session = session(Worker);
+                  if (!Session)
                     return;
-                  With->RecordedEnd = std::max(With->RecordedEnd, Upto);
-                  if (With->RecordedEnd == With->TakenEnd)
-                    hold(*With);
+                  Session->RecordedEnd =
+                      std::max(Session->RecordedEnd, LastEnd);
+                  if (Session->RecordedEnd == Session->TakenEnd)
+                    hold(*Session);
                 });
 }
 
--- a/src/jobs/internal/entryask.h
+++ b/src/jobs/internal/entryask.h
@@ -71,7 +71,7 @@
 struct EntryJobs::Incoming {
   Job Wanted;
   /// As of its coming.
-  Arrival How;
+  TransientRequest How;
   Time Since;
   /// The pool that it was brought to, and the token under which this entry
   /// owns that.
--- a/src/jobs/internal/evacuationmoves.cpp
+++ b/src/jobs/internal/evacuationmoves.cpp
@@ -21,26 +21,26 @@
 } // namespace
 
 void Scheduler::evacuationsChanged() {
-  for (auto &[Id, With] : Sessions_)
-    With.Evacuated = Needs_.Evacuated.count(With.Info.DataCentre) != 0;
-  for (const DataCentreId &Each : Needs_.Evacuated)
+  for (auto &[Id, Session] : Sessions_)
+    Session.Evacuated = Deps_.Evacuated.count(Session.Info.DataCentre) != 0;
+  for (const DataCentreId &Each : Deps_.Evacuated)
     if (runningIn(Each) != 0)
-      Emptying_.insert(Each);
+      EmptyingDataCentres_.insert(Each);
   scheduleSoon();
 }
 
 std::size_t Scheduler::runningIn(const DataCentreId &DataCentre) const {
   std::size_t Count = 0;
-  for (const auto &[Id, With] : Sessions_)
-    if (With.Info.DataCentre == DataCentre)
-      Count += With.Runs.size();
+  for (const auto &[Id, Session] : Sessions_)
+    if (Session.Info.DataCentre == DataCentre)
+      Count += Session.Runs.size();
   return Count;
 }
 
-void Scheduler::noteEmptied() {
-  std::erase_if(Emptying_, [&](const DataCentreId &Each) {
+void Scheduler::reportEmptied() {
+  std::erase_if(EmptyingDataCentres_, [&](const DataCentreId &Each) {
     bool Ended = runningIn(Each) == 0;
-    if (!Ended && Needs_.Evacuated.count(Each) != 0)
+    if (!Ended && Deps_.Evacuated.count(Each) != 0)
       return false;
     logEvent(LogLevel::Info, Module, "evacuation_obeyed",
              {{"data_centre", Each},
@@ -50,34 +50,37 @@
   });
 }
 
-bool Scheduler::isShutOut(const Job &Of, const StepSpec &Step) const {
+bool Scheduler::isShutOut(const Job &JobRecord, const StepSpec &Step) const {
   bool Any = false;
-  for (const auto &[Id, With] : Sessions_) {
-    const WorkerInfo &Info = With.Info;
-    if (Info.Service != Of.Service || Info.Draining ||
-        !carries(Info, Step.RequiredLabel) || !isLargeEnough(With, Step.Needs))
+  for (const auto &[Id, Session] : Sessions_) {
+    const WorkerInfo &Info = Session.Info;
+    if (Info.Service != JobRecord.Service || Info.Draining ||
+        !carries(Info, Step.RequiredLabel) ||
+        !isLargeEnough(Session, Step.Needs))
       continue;
-    if (!With.Evacuated)
+    if (!Session.Evacuated)
       return false;
     Any = true;
   }
   return Any;
 }
 
-bool Scheduler::isShutOut(const Job &Of) const {
-  return !Needs_.Evacuated.empty() &&
-         std::any_of(Of.Spec.Steps.begin(), Of.Spec.Steps.end(),
-                     [&](const StepSpec &Step) { return isShutOut(Of, Step); });
+bool Scheduler::isShutOut(const Job &JobRecord) const {
+  return !Deps_.Evacuated.empty() &&
+         std::any_of(
+             JobRecord.Spec.Steps.begin(), JobRecord.Spec.Steps.end(),
+             [&](const StepSpec &Step) { return isShutOut(JobRecord, Step); });
 }
 
 void Scheduler::moveShutOut() {
   std::set<JobId> ShutOut;
   for (const auto &[Rank, Task] : Queue_) {
-    const Job *Of = findJob(Transient_, Task.Id.Job);
-    if (!Of || Of->State != JobState::Active || ShutOut.count(Of->Id) != 0)
+    const Job *JobRecord = findJob(Transient_, Task.Id.Job);
+    if (!JobRecord || JobRecord->State != JobState::Active ||
+        ShutOut.count(JobRecord->Id) != 0)
       continue;
-    if (isShutOut(*Of, Of->Spec.Steps[Task.Id.Step]))
-      ShutOut.insert(Of->Id);
+    if (isShutOut(*JobRecord, JobRecord->Spec.Steps[Task.Id.Step]))
+      ShutOut.insert(JobRecord->Id);
   }
   for (const JobId &Id : ShutOut)
     moveAway(Id);
@@ -89,14 +92,14 @@
   Refusal.HasRun = HasRun;
   logEvent(LogLevel::Info, Module, "job_shut_out",
            {{"job", Id}, {"has_run", HasRun}, {"token", Token_.value()}});
-  Needs_.Measured.count("geraniumbay_jobs_shut_out_total",
-                        "Jobs that left an evacuated data centre.",
-                        {{"has_run", HasRun ? "yes" : "no"}});
+  Deps_.Measured.count("geraniumbay_jobs_shut_out_total",
+                       "Jobs that left an evacuated data centre.",
+                       {{"has_run", HasRun ? "yes" : "no"}});
   return noteRefusal(Id, Refusal);
 }
 
 void Scheduler::moveAway(const JobId &Id) {
-  if (auto Found = Waiters_.find(Id); Found != Waiters_.end())
+  if (auto Found = ActiveTransients_.find(Id); Found != ActiveTransients_.end())
     Found->second.Evacuated = true;
   Leaving_.insert(Id);
   forgetWaiting(Id);
@@ -105,12 +108,12 @@
 }
 
 void Scheduler::finishMoves() {
-  std::vector<JobId> Gone;
+  std::vector<JobId> Stopped;
   for (const JobId &Id : Leaving_)
     if (std::none_of(Places_.begin(), Places_.end(),
                      [&](const auto &Entry) { return Entry.first.Job == Id; }))
-      Gone.push_back(Id);
-  for (const JobId &Id : Gone) {
+      Stopped.push_back(Id);
+  for (const JobId &Id : Stopped) {
     noteShutOut(Id, hasBegun(Id));
     cancelTransient(Id, EvacuationReason, RetryAfterEvacuation);
   }
--- a/src/jobs/internal/intake.cpp
+++ b/src/jobs/internal/intake.cpp
@@ -24,36 +24,36 @@
 std::size_t hashOf(const JobId &Id) { return std::hash<JobId>()(Id); }
 
 /// How many tasks with \p Needs fit beside what runs there.
-std::size_t placesLeft(const WorkerSession &On, const Resources &Needs) {
+std::size_t freePlaces(const WorkerSession &Session, const Resources &Needs) {
   constexpr std::size_t Unbounded = 64;
   auto Fit = [](std::uint32_t All, std::uint32_t Used, std::uint32_t Each) {
     return Each == 0 ? Unbounded : (All - std::min(All, Used)) / Each;
   };
-  const Resources &All = On.Info.Capacity;
-  return std::min({Fit(All.CpuMillis, On.Used.CpuMillis, Needs.CpuMillis),
-                   Fit(All.MemoryMb, On.Used.MemoryMb, Needs.MemoryMb),
-                   Fit(All.Gpus, On.Used.Gpus, Needs.Gpus)});
+  const Resources &All = Session.Info.Capacity;
+  return std::min({Fit(All.CpuMillis, Session.Used.CpuMillis, Needs.CpuMillis),
+                   Fit(All.MemoryMb, Session.Used.MemoryMb, Needs.MemoryMb),
+                   Fit(All.Gpus, Session.Used.Gpus, Needs.Gpus)});
 }
 
 } // namespace
 
-Duration Scheduler::expectedRun(const Job &Of, const StepSpec &Step,
+Duration Scheduler::expectedRun(const Job &JobRecord, const StepSpec &Step,
                                 Time Now) const {
   static const scheduling::RunTimeModel Nothing;
-  auto Found = RunTimes_.find(Of.Queue);
+  auto Found = RunTimes_.find(JobRecord.Queue);
   return scheduling::expectedRun(Found == RunTimes_.end() ? Nothing
                                                           : Found->second,
                                  Step.Estimate, Duration(0), Now);
 }
 
-Duration Scheduler::chainOf(const Job &Of, Time Now) const {
+Duration Scheduler::longestChain(const Job &JobRecord, Time Now) const {
   Duration Longest{0};
   std::vector<Duration> EndsAfter;
-  for (const StepSpec &Step : Of.Spec.Steps) {
+  for (const StepSpec &Step : JobRecord.Spec.Steps) {
     Duration Begins{0};
     for (std::uint32_t Earlier : Step.DependsOn)
       Begins = std::max(Begins, EndsAfter[Earlier]);
-    EndsAfter.push_back(Begins + expectedRun(Of, Step, Now));
+    EndsAfter.push_back(Begins + expectedRun(JobRecord, Step, Now));
     Longest = std::max(Longest, EndsAfter.back());
   }
   return Longest;
@@ -62,17 +62,17 @@
 scheduling::PoolOutlook Scheduler::outlookFor(const Job &New, Time Now) const {
   scheduling::PoolOutlook Result;
   const Resources &Needs = New.Spec.Steps.front().Needs;
-  for (const auto &[Id, With] : Sessions_) {
-    if (!takesWorkOf(With, New.Service))
+  for (const auto &[Id, Session] : Sessions_) {
+    if (!takesWorkOf(Session, New.Service))
       continue;
-    double Factor = paceFactorOf(With, Now);
+    double Factor = paceFactorOf(Session, Now);
     bool Slow = Factor >= scheduling::SlowFactor;
-    if (With.RestUntil <= Now && isTrusted(With) && !Slow)
-      Result.Free += placesLeft(With, Needs);
+    if (Session.RestUntil <= Now && isTrusted(Session) && !Slow)
+      Result.Free += freePlaces(Session, Needs);
     // What a slow worker runs makes room for nothing in sight.
     if (Slow)
       continue;
-    for (const auto &[Task, Each] : With.Runs)
+    for (const auto &[Task, Each] : Session.Runs)
       Result.BusyFor.push_back(
           scheduling::remaining(Each.Expected, Now - Each.Since));
   }
@@ -89,42 +89,43 @@
 
 double Scheduler::usableCores(const ServiceId &Service) const {
   double Cores = 0;
-  for (const auto &[Id, With] : Sessions_)
-    if (takesWorkOf(With, Service))
-      Cores += With.Info.Capacity.CpuMillis;
+  for (const auto &[Id, Session] : Sessions_)
+    if (takesWorkOf(Session, Service))
+      Cores += Session.Info.Capacity.CpuMillis;
   return Cores * UsableShare;
 }
 
 bool Scheduler::knowsWorkersOf(const ServiceId &Service) const {
   bool Any = false;
-  for (const auto &[Id, With] : Sessions_) {
-    if (With.Info.Service != Service)
+  for (const auto &[Id, Session] : Sessions_) {
+    if (Session.Info.Service != Service)
       continue;
-    if (!With.Known && !With.Silent)
+    if (!Session.Known && !Session.Silent)
       return false;
-    Any = Any || With.Known;
+    Any = Any || Session.Known;
   }
   return Any;
 }
 
-bool Scheduler::fitsSomewhere(const Job &Of) const {
-  return std::all_of(
-      Of.Spec.Steps.begin(), Of.Spec.Steps.end(), [&](const StepSpec &Step) {
-        return std::any_of(Sessions_.begin(), Sessions_.end(),
+bool Scheduler::fitsAnyWorker(const Job &JobRecord) const {
+  return std::all_of(JobRecord.Spec.Steps.begin(), JobRecord.Spec.Steps.end(),
+                     [&](const StepSpec &Step) {
+                       return std::any_of(
+                           Sessions_.begin(), Sessions_.end(),
                            [&](const auto &Entry) {
-                             const WorkerSession &With = Entry.second;
-                             return With.Info.Service == Of.Service &&
-                                    isLargeEnough(With, Step.Needs);
+                             const WorkerSession &Session = Entry.second;
+                             return Session.Info.Service == JobRecord.Service &&
+                                    isLargeEnough(Session, Step.Needs);
                            });
-      });
+                     });
 }
 
 bool Scheduler::isLate(const JobId &Id) const {
-  auto Found = Waiters_.find(Id);
-  return Found != Waiters_.end() && Found->second.Late;
+  auto Found = ActiveTransients_.find(Id);
+  return Found != ActiveTransients_.end() && Found->second.Late;
 }
 
-scheduling::Waits Scheduler::forecastFor(const Job &New, Time Now) const {
+scheduling::Waits Scheduler::forecastWaits(const Job &New, Time Now) const {
   scheduling::PoolOutlook Pool = outlookFor(New, Now);
   scheduling::JobOutlook Own{firstTasks(New.Spec),
                              expectedRun(New, New.Spec.Steps.front(), Now)};
@@ -139,12 +140,13 @@
   return {WaitBehind(New.Priority), WaitBehind(New.Priority + 1)};
 }
 
-scheduling::Waits Scheduler::correctedFor(std::uint32_t Priority,
-                                          const scheduling::Waits &Known,
-                                          Time Now) const {
+scheduling::Waits
+Scheduler::correctedWaits(std::uint32_t Priority,
+                          const scheduling::Waits &Uncorrected,
+                          Time Now) const {
   const scheduling::ForecastSkill &Skill =
       Skills_[scheduling::classOf(Priority)];
-  scheduling::Waits Result = Known;
+  scheduling::Waits Result = Uncorrected;
   for (std::optional<Duration> *Each : {&Result.InTurn, &Result.AsLate})
     if (*Each)
       *Each = scheduling::corrected(Skill, **Each, Now);
@@ -152,21 +154,21 @@
 }
 
 scheduling::Admission
-Scheduler::admissionOf(const Job &New, const Waiters &Coming,
-                       const scheduling::Waits &Known) const {
-  Time Now = Coming.Since;
-  scheduling::Waits Forecast = correctedFor(New.Priority, Known, Now);
+Scheduler::decideAdmission(const Job &New, const ActiveTransient &Arriving,
+                           const scheduling::Waits &Uncorrected) const {
+  Time Now = Arriving.Since;
+  scheduling::Waits Forecast = correctedWaits(New.Priority, Uncorrected, Now);
   scheduling::Admission Decided = scheduling::admit(
-      Coming.Useful, Coming.Chain, Forecast, hashOf(New.Id), Now);
+      Arriving.Useful, Arriving.Chain, Forecast, hashOf(New.Id), Now);
   if (Decided.What != scheduling::Verdict::InTime)
     logEvent(LogLevel::Info, Module, "job_not_in_time",
              {{"job", New.Id},
               {"verdict", scheduling::verdictName(Decided.What)},
               {"priority", New.Priority},
-              {"chain_us", Coming.Chain.count()},
-              {"age_us", Coming.Age.count()},
+              {"chain_us", Arriving.Chain.count()},
+              {"age_us", Arriving.Age.count()},
               {"laxity_us",
-               (Coming.Useful.InTimeUntil - Now - Coming.Chain).count()},
+               (Arriving.Useful.InTimeUntil - Now - Arriving.Chain).count()},
               {"wait_us", Forecast.InTurn ? Forecast.InTurn->count() : -1},
               {"wait_late_us", Forecast.AsLate ? Forecast.AsLate->count() : -1},
               {"waiting_tasks", Queue_.size()},
@@ -175,17 +177,17 @@
 }
 
 void Scheduler::noteFirstStart(const JobId &Id, Time Now) {
-  auto Found = Waiters_.find(Id);
-  if (Found == Waiters_.end() || Found->second.NotStarted == 0)
+  auto Found = ActiveTransients_.find(Id);
+  if (Found == ActiveTransients_.end() || Found->second.NotStarted == 0)
     return;
-  Waiters &Job = Found->second;
-  const jobs::Job *Of = findJob(Transient_, Id);
-  if (--Job.NotStarted == 0 && Job.Forecast && Of)
-    scheduling::learnForecast(Skills_[scheduling::classOf(Of->Priority)],
+  ActiveTransient &Job = Found->second;
+  const jobs::Job *JobRecord = findJob(Transient_, Id);
+  if (--Job.NotStarted == 0 && Job.Forecast && JobRecord)
+    scheduling::learnForecast(Skills_[scheduling::classOf(JobRecord->Priority)],
                               *Job.Forecast, Now - Job.Since, Now);
 }
 
-void Scheduler::noteTaken(const Job &New, Time Now) {
+void Scheduler::noteAccepted(const Job &New, Time Now) {
   for (const StepSpec &Step : New.Spec.Steps) {
     Duration All = expectedRun(New, Step, Now) * Step.Count;
     scheduling::noteArrival(Arrivals_, New.Priority,
@@ -193,26 +195,27 @@
   }
 }
 
-void Scheduler::noteRan(WorkerSession &On, const TaskId &Task,
-                        const TookTime &Times) {
-  const Job *Of = jobOf(Task.Job);
-  if (!Of || Task.Step >= Of->Spec.Steps.size())
+void Scheduler::noteRunTime(WorkerSession &Session, const TaskId &Task,
+                            const TookTime &Times) {
+  const Job *JobRecord = jobOf(Task.Job);
+  if (!JobRecord || Task.Step >= JobRecord->Spec.Steps.size())
     return;
-  Time Now = Needs_.Clock.now();
-  bool Slow = paceFactorOf(On, Now) >= scheduling::SlowFactor;
-  scheduling::learnPace(On.Pace, Times.Expected, Times.Took, Now);
+  Time Now = Deps_.Clock.now();
+  bool Slow = paceFactorOf(Session, Now) >= scheduling::SlowFactor;
+  scheduling::learnPace(Session.Pace, Times.Expected, Times.Took, Now);
   // A slow worker says little about the queue's tasks; but where all are slow,
   // the queue's tasks are long.
-  Duration Took = Slow ? std::min(Times.Took, Times.Expected * 2) : Times.Took;
-  scheduling::learnRun(RunTimes_[Of->Queue], Of->Spec.Steps[Task.Step].Estimate,
-                       Took, Now);
+  Duration RunTime =
+      Slow ? std::min(Times.Took, Times.Expected * 2) : Times.Took;
+  scheduling::learnRun(RunTimes_[JobRecord->Queue],
+                       JobRecord->Spec.Steps[Task.Step].Estimate, RunTime, Now);
 }
 
-bool Scheduler::isStale(const Waiters &Job, Time Now) {
+bool Scheduler::isStale(const ActiveTransient &Job, Time Now) {
   return Now >= Job.Since - Job.Age + BeforeCallersReturn;
 }
 
-bool Scheduler::isHopeless(const Waiters &Job, Time Now) {
+bool Scheduler::isHopeless(const ActiveTransient &Job, Time Now) {
   if (isStale(Job, Now))
     return true;
   if (Job.Late)
@@ -222,9 +225,10 @@
 
 void Scheduler::giveUpLate(Time Now) {
   std::vector<JobId> Hopeless;
-  for (const auto &[Id, Job] : Waiters_) {
-    const jobs::Job *Of = findJob(Transient_, Id);
-    bool TooLarge = Of && knowsWorkersOf(Of->Service) && !fitsSomewhere(*Of);
+  for (const auto &[Id, Job] : ActiveTransients_) {
+    const jobs::Job *JobRecord = findJob(Transient_, Id);
+    bool TooLarge = JobRecord && knowsWorkersOf(JobRecord->Service) &&
+                    !fitsAnyWorker(*JobRecord);
     if ((isHopeless(Job, Now) || TooLarge) && !hasBegun(Id))
       Hopeless.push_back(Id);
   }
@@ -233,18 +237,18 @@
 }
 
 void Scheduler::reconsider(const JobId &Id, Time Now) {
-  const Job *Of = findJob(Transient_, Id);
-  auto Found = Waiters_.find(Id);
-  if (!Of || Found == Waiters_.end())
+  const Job *JobRecord = findJob(Transient_, Id);
+  auto Found = ActiveTransients_.find(Id);
+  if (!JobRecord || Found == ActiveTransients_.end())
     return;
-  Waiters &Job = Found->second;
+  ActiveTransient &Job = Found->second;
   // It has waited in vain for as long as it could.
   if (Job.Forecast)
-    scheduling::learnForecast(Skills_[scheduling::classOf(Of->Priority)],
+    scheduling::learnForecast(Skills_[scheduling::classOf(JobRecord->Priority)],
                               *std::exchange(Job.Forecast, std::nullopt),
                               Now - Job.Since, Now);
   scheduling::Waits Forecast =
-      correctedFor(Of->Priority, forecastFor(*Of, Now), Now);
+      correctedWaits(JobRecord->Priority, forecastWaits(*JobRecord, Now), Now);
   // Its turn is over.
   Forecast.InTurn.reset();
   scheduling::Admission Decided =
@@ -257,7 +261,7 @@
   }
   Job.Late = true;
   forgetWaiting(Id);
-  enqueueReady(*Of);
+  enqueueReady(*JobRecord);
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/jobcontrol.cpp
+++ b/src/jobs/internal/jobcontrol.cpp
@@ -38,7 +38,7 @@
     std::uint64_t Before = Directory_.Changes;
     announce(Directory_, Info, Needs_.Clock.now());
     if (Scheduler_ && Directory_.Changes != Before)
-      Scheduler_->takeWorkers(Directory_);
+      Scheduler_->applyWorkers(Directory_);
     return Done(geraniumbay::Done{});
   }
   followLeader(Relay_, Needs_.Log.leaderAddress());
@@ -64,7 +64,7 @@
     announce(Directory_, *Info, Needs_.Clock.now());
   }
   if (Scheduler_)
-    Scheduler_->takeWorkers(Directory_);
+    Scheduler_->applyWorkers(Directory_);
   Answer(Json::Value(Json::objectValue));
 }
 
@@ -155,7 +155,7 @@
   leave(Directory_, Worker);
   if (serves()) {
     if (Scheduler_)
-      Scheduler_->takeWorkers(Directory_);
+      Scheduler_->applyWorkers(Directory_);
     return Done(geraniumbay::Done{});
   }
   Json::Value Params(Json::objectValue);
--- a/src/jobs/internal/jobservice.cpp
+++ b/src/jobs/internal/jobservice.cpp
@@ -148,29 +148,30 @@
 void JobService::engage() {
   if (Scheduler_)
     return;
-  SchedulerNeeds Needs{poolOfAll(),
-                       [this] { return Needs_.Log.holdsLease(); },
-                       [](FencingToken /*Token*/) {
-                         // A later leader; this one hears of it by the log.
-                       },
-                       [this] { return knowsAllWorkers(); },
-                       &Needs_.Log,
-                       Needs_.Store,
-                       Evacuated_,
-                       Needs_.Workers,
-                       Needs_.Clock,
-                       Needs_.Timers,
-                       Needs_.Measured};
+  SchedulerDependencies Needs{poolOfAll(),
+                              [this] { return Needs_.Log.holdsLease(); },
+                              [](FencingToken /*Token*/) {
+                                // A later leader; this one hears of it by the
+                                // log.
+                              },
+                              [this] { return knowsAllWorkers(); },
+                              &Needs_.Log,
+                              Needs_.Store,
+                              Evacuated_,
+                              Needs_.Workers,
+                              Needs_.Clock,
+                              Needs_.Timers,
+                              Needs_.Measured};
   Scheduler_ =
       std::make_unique<Scheduler>(std::move(Needs), tokenOf(*Term_), Lease_);
-  Scheduler_->takeWorkers(Directory_);
+  Scheduler_->applyWorkers(Directory_);
 }
 
 void JobService::tick() {
   dropSilent(Directory_, Needs_.Clock.now());
   followEvacuations();
   if (Scheduler_)
-    Scheduler_->takeWorkers(Directory_);
+    Scheduler_->applyWorkers(Directory_);
   divideIfLarge();
   Needs_.Timers.after(TickInterval, [this] { tick(); });
 }
@@ -237,7 +238,7 @@
   Time Began = Needs_.Clock.now();
   JobId Id = New.Id;
   Scheduler_->run(
-      std::move(New), Arrival{WaiterId(), Duration(0), Patience, true},
+      std::move(New), TransientRequest{WaiterId(), Duration(0), Patience, true},
       [this, Answer, Id, Began](const Outcome<TransientEnd> &Ended) {
         Duration Took = Needs_.Clock.now() - Began;
         Needs_.Measured.observe("geraniumbay_transient_job_seconds",
--- a/src/jobs/internal/placement.cpp
+++ b/src/jobs/internal/placement.cpp
@@ -20,35 +20,36 @@
 /// room: smaller ones may still fit.
 constexpr std::size_t MaxSkipped = 64;
 
-std::uint32_t runsOfStep(const WorkerSession &On, const TaskId &Like) {
+std::uint32_t runsOfStep(const WorkerSession &Session, const TaskId &Like) {
   std::uint32_t Count = 0;
-  for (const auto &[Task, Each] : On.Runs)
+  for (const auto &[Task, Each] : Session.Runs)
     if (Task.Job == Like.Job && Task.Step == Like.Step)
       ++Count;
   return Count;
 }
 
 /// Away from the rack that holds its data a task takes longer.
-bool isNearData(const WorkerSession &On, const StepSpec &Step) {
-  return Step.PreferredRack.empty() || On.Info.Rack == Step.PreferredRack;
+bool isNearData(const WorkerSession &Session, const StepSpec &Step) {
+  return Step.PreferredRack.empty() || Session.Info.Rack == Step.PreferredRack;
 }
 
-bool suits(const WorkerSession &On, const StepSpec &Step, const TaskId &Id) {
-  if (!carries(On.Info, Step.RequiredLabel))
+bool suits(const WorkerSession &Session, const StepSpec &Step,
+           const TaskId &Id) {
+  if (!carries(Session.Info, Step.RequiredLabel))
     return false;
-  return Step.MaxPerWorker == 0 || runsOfStep(On, Id) < Step.MaxPerWorker;
+  return Step.MaxPerWorker == 0 || runsOfStep(Session, Id) < Step.MaxPerWorker;
 }
 
 } // namespace
 
 PoolLoad Scheduler::load() const {
   PoolLoad Result;
-  for (const auto &[Id, With] : Sessions_) {
-    if (!With.Known || With.Silent || With.Info.Draining || With.Evacuated ||
-        With.Unlisted)
+  for (const auto &[Id, Session] : Sessions_) {
+    if (!Session.Known || Session.Silent || Session.Info.Draining ||
+        Session.Evacuated || Session.Unlisted)
       continue;
-    Result.Capacity += With.Info.Capacity.CpuMillis;
-    Result.Used += With.Used.CpuMillis;
+    Result.Capacity += Session.Info.Capacity.CpuMillis;
+    Result.Used += Session.Used.CpuMillis;
   }
   if (Result.Capacity == 0)
     return Result;
@@ -66,7 +67,7 @@
   if (ScheduleDue_ || Queue_.empty())
     return;
   ScheduleDue_ = true;
-  Needs_.Timers.after(Duration::zero(), [this, Alive = Alive_] {
+  Deps_.Timers.after(Duration::zero(), [this, Alive = Alive_] {
     if (!*Alive)
       return;
     ScheduleDue_ = false;
@@ -75,11 +76,11 @@
 }
 
 void Scheduler::schedule() {
-  if (!Needs_.MayOrder())
+  if (!Deps_.OwnsPool())
     return;
-  if (!Needs_.Evacuated.empty())
+  if (!Deps_.Evacuated.empty())
     moveShutOut();
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   std::size_t Skipped = 0;
   for (auto It = Queue_.begin(); It != Queue_.end() && Skipped < MaxSkipped;) {
     if (!taskOf(It->second.Id)) {
@@ -88,10 +89,10 @@
       It = Queue_.erase(It);
       continue;
     }
-    WorkerSession *On = bestWorker(It->second, Now);
-    if (!On) {
+    WorkerSession *Session = bestWorker(It->second, Now);
+    if (!Session) {
       if (isSuspected(It->second.Id))
-        reserveFor(It->second, Now);
+        reserveWorkerFor(It->second, Now);
       ++Skipped;
       ++It;
       continue;
@@ -99,14 +100,14 @@
     WaitingTask Task = std::move(It->second);
     It = Queue_.erase(It);
     Ranks_.erase(Task.Id);
-    start(*On, Task);
+    start(*Session, Task);
   }
 }
 
 WorkerSession *Scheduler::bestWorker(const WaitingTask &Task, Time Now) {
   const StepSpec &Step = jobOf(Task.Id.Job)->Spec.Steps[Task.Id.Step];
   WorkerSession *Best = nullptr;
-  WorkerSession *Again = nullptr;
+  WorkerSession *Fallback = nullptr;
   std::uint32_t LeastLeft = UINT32_MAX;
   bool BestIsNear = false;
   bool Suspected = isSuspected(Task.Id);
@@ -123,10 +124,10 @@
     bool Failed = FailedAt != FailedAt_.end() && FailedAt->second == Id;
     double Factor = paceFactorOf(Each, Now);
     bool Slow = Factor >= scheduling::SlowFactor;
-    if (Slow && (!Each.Runs.empty() || !isWorthIt(Task, Factor, Now)))
+    if (Slow && (!Each.Runs.empty() || !isUsefulAtPace(Task, Factor, Now)))
       continue;
     if (Failed || Slow || hasUnansweredStart(Each, Now)) {
-      Again = &Each;
+      Fallback = &Each;
       continue;
     }
     std::uint32_t Left = Each.Info.Capacity.CpuMillis - Each.Used.CpuMillis -
@@ -138,15 +139,15 @@
     BestIsNear = IsNear;
     LeastLeft = Left;
   }
-  return Best ? Best : Again;
+  return Best ? Best : Fallback;
 }
 
-bool Scheduler::isWorthIt(const WaitingTask &Task, double Factor,
-                          Time Now) const {
-  auto Found = Waiters_.find(Task.Id.Job);
-  if (Found == Waiters_.end())
+bool Scheduler::isUsefulAtPace(const WaitingTask &Task, double Factor,
+                               Time Now) const {
+  auto Found = ActiveTransients_.find(Task.Id.Job);
+  if (Found == ActiveTransients_.end())
     return true;
-  const Waiters &Job = Found->second;
+  const ActiveTransient &Job = Found->second;
   Duration Run = scheduling::scaled(Task.Estimate, Factor);
   return Job.Late ? scheduling::canBeOfUse(Job.Useful, Run, Now)
                   : scheduling::canBeInTime(Job.Useful, Run, Now);
--- a/src/jobs/internal/poolmember.cpp
+++ b/src/jobs/internal/poolmember.cpp
@@ -153,20 +153,20 @@
 }
 
 void PoolMember::startScheduler(bool Again) {
-  SchedulerNeeds Needs{Name_,
-                       [this] { return ownsPool(View_); },
-                       [this](FencingToken Token) {
-                         noteFenced(View_, Token, Needs_.Clock.now());
-                       },
-                       [this] { return Needs_.KnowsAllWorkers; },
-                       nullptr,
-                       NoDurableJobs_,
-                       Needs_.Evacuated,
-                       Needs_.Workers,
-                       Needs_.Clock,
-                       Needs_.Timers,
-                       Needs_.Measured,
-                       [this] { Needs_.SuspectsFound(*this); }};
+  SchedulerDependencies Needs{Name_,
+                              [this] { return ownsPool(View_); },
+                              [this](FencingToken Token) {
+                                noteFenced(View_, Token, Needs_.Clock.now());
+                              },
+                              [this] { return Needs_.KnowsAllWorkers; },
+                              nullptr,
+                              NoDurableJobs_,
+                              Needs_.Evacuated,
+                              Needs_.Workers,
+                              Needs_.Clock,
+                              Needs_.Timers,
+                              Needs_.Measured,
+                              [this] { Needs_.SuspectsFound(*this); }};
   // Else the jobs that other entries bring would be counted anew.
   SuspectsByJob Suspects = Needs_.Suspects;
   if (Scheduler_)
@@ -183,13 +183,13 @@
   ToldLoad_ = SteadyPoolLoad();
   Scheduler_ =
       std::make_unique<Scheduler>(std::move(Needs), View_.Owner.Token, Lease);
-  Scheduler_->takeSuspects(Suspects);
-  Scheduler_->takeWorkers(Directory_);
+  Scheduler_->mergeSuspects(Suspects);
+  Scheduler_->applyWorkers(Directory_);
 }
 
 void PoolMember::workersChanged() {
   if (Scheduler_)
-    Scheduler_->takeWorkers(Directory_);
+    Scheduler_->applyWorkers(Directory_);
 }
 
 void PoolMember::evacuationsChanged() {
--- a/src/jobs/internal/poolowner.cpp
+++ b/src/jobs/internal/poolowner.cpp
@@ -88,7 +88,7 @@
     auto Gone = In->earlierOwnersGoneBy(StartedAt_);
     if (!Gone)
       continue;
-    In->scheduler()->noteEarlierOwnersGone(*Gone);
+    In->scheduler()->noteEarlierOwnersEnded(*Gone);
     if (JobRegister *Of = registerOf(Name))
       Of->noteEntriesGone(*Gone);
   }
@@ -276,7 +276,7 @@
     return;
   for (const auto &[Name, In] : Pools_)
     if (In->scheduler())
-      In->scheduler()->takeSuspects(Told);
+      In->scheduler()->mergeSuspects(Told);
 }
 
 void EntryJobs::takePools(const Json::Value &From, const Endpoint &Speaker) {
@@ -321,7 +321,7 @@
   });
   for (auto &[Name, In] : Pools_)
     if (In->scheduler())
-      In->scheduler()->dropEarlier(From, Told);
+      In->scheduler()->dropEarlierIncarnations(From, Told);
 }
 
 bool EntryJobs::hasFreshEcho(const Endpoint &Owner) const {
--- a/src/jobs/internal/registration.cpp
+++ b/src/jobs/internal/registration.cpp
@@ -209,7 +209,7 @@
 void EntryJobs::runIncoming(const IncomingPtr &What, PoolMember &In) {
   Duration Waited = Needs_.Clock.now() - What->Since;
   What->How.Age += Waited;
-  What->How.Patience -= Waited;
+  What->How.TimeLeft -= Waited;
   In.scheduler()->run(What->Wanted, What->How,
                       [this, What](const Outcome<TransientEnd> &Ended) {
                         if (wasRefused(Ended) && !What->How.MaybeTaken)
--- a/src/jobs/internal/scheduler.cpp
+++ b/src/jobs/internal/scheduler.cpp
@@ -18,30 +18,30 @@
 /// How often leases are checked and what is old is dropped.
 constexpr Duration TickInterval = std::chrono::milliseconds(50);
 /// How long a job that has ended can be asked for.
-constexpr Duration KeepSettled = std::chrono::seconds(180);
+constexpr Duration EndedJobRetention = std::chrono::seconds(180);
 /// How long what another owner left, which has just met this one, is kept: the
 /// time in which it lets go and its entries hand their jobs in here.
-constexpr Duration KeepMerged = std::chrono::milliseconds(500);
+constexpr Duration MergedOrphanRetention = std::chrono::milliseconds(500);
 /// Jobs forgotten in one batch.
-constexpr std::size_t MaxForgotten = 200;
+constexpr std::size_t MaxForgottenPerBatch = 200;
 
 } // namespace
 
-Scheduler::Scheduler(SchedulerNeeds Needs, FencingToken Token,
+Scheduler::Scheduler(SchedulerDependencies Deps, FencingToken Token,
                      LeaseSettings Lease)
-    : Needs_(std::move(Needs)), Token_(Token), Lease_(Lease),
-      Batches_(Needs_.Log
-                   ? std::make_unique<Batcher>(*Needs_.Log, Needs_.Timers)
-                   : nullptr),
-      TakenOverAt_(Needs_.Clock.now() + Lease.EarlierOwner + leaseBound(Lease)),
-      OrphansUntil_(Needs_.Clock.now() + Lease.KeepOrphans) {
+    : Deps_(std::move(Deps)), Token_(Token), Lease_(Lease),
+      Batches_(Deps_.Log ? std::make_unique<Batcher>(*Deps_.Log, Deps_.Timers)
+                         : nullptr),
+      TakeOverDeadline_(Deps_.Clock.now() + Lease.EarlierOwner +
+                        leaseBound(Lease)),
+      OrphansUntil_(Deps_.Clock.now() + Lease.KeepOrphans) {
   std::size_t Active = 0;
-  for (const auto &[Id, Each] : Needs_.Store.Jobs) {
+  for (const auto &[Id, Each] : Deps_.Store.Jobs) {
     if (Each.State == JobState::Active) {
-      Orders_[Id] = 0;
+      JobOrders_[Id] = 0;
       ++Active;
     } else {
-      Settled_.emplace_back(Needs_.Clock.now(), Id);
+      EndedJobs_.emplace_back(Deps_.Clock.now(), Id);
     }
   }
   logEvent(LogLevel::Info, Module, "takes_over",
@@ -51,40 +51,40 @@
 
 Scheduler::~Scheduler() {
   *Alive_ = false;
-  for (auto &[Id, Run] : Askers_)
-    Run();
-  for (auto &[Id, Job] : Waiters_)
-    for (const Waiter &Each : Job.Waiting)
+  for (auto &[Id, Then] : RecordingCallbacks_)
+    Then();
+  for (auto &[Id, Job] : ActiveTransients_)
+    for (const Waiter &Each : Job.Waiters)
       Each.Ended(Error{ErrorCode::Unavailable, "the pool has another owner"});
 }
 
 const Job *Scheduler::jobOf(const JobId &Id) const {
   const Job *Found = findJob(Transient_, Id);
-  return Found ? Found : findJob(Needs_.Store, Id);
+  return Found ? Found : findJob(Deps_.Store, Id);
 }
 
 const TaskRecord *Scheduler::taskOf(const TaskId &Id) const {
   const TaskRecord *Found = findTask(Transient_, Id);
-  return Found ? Found : findTask(Needs_.Store, Id);
+  return Found ? Found : findTask(Deps_.Store, Id);
 }
 
-void Scheduler::raiseToken(FencingToken Token, bool OtherLetsGo) {
-  Time Now = Needs_.Clock.now();
+void Scheduler::raiseToken(FencingToken Token, bool OtherReleasesOwnership) {
+  Time Now = Deps_.Clock.now();
   Token_ = Token;
-  if (OtherLetsGo)
-    OrphansUntil_ = Now + KeepMerged;
+  if (OtherReleasesOwnership)
+    OrphansUntil_ = Now + MergedOrphanRetention;
   // Another owner may have taken these jobs over and run tasks of them.
-  for (const auto &[Id, Job] : Waiters_) {
+  for (const auto &[Id, Job] : ActiveTransients_) {
     Unsettled_[Id] = Now;
     forgetWaiting(Id);
   }
-  LookedAround_ = Time();
+  AllQueriedAt_ = Time();
   if (!Unsettled_.empty())
-    lookAround();
+    queryAllWorkers();
 }
 
-void Scheduler::noteEarlierOwnersGone(Time At) {
-  TakenOverAt_ = std::min(TakenOverAt_, At + leaseBound(Lease_));
+void Scheduler::noteEarlierOwnersEnded(Time At) {
+  TakeOverDeadline_ = std::min(TakeOverDeadline_, At + leaseBound(Lease_));
 }
 
 std::size_t Scheduler::workers() const {
@@ -99,19 +99,20 @@
   JobChanges Changes;
   Changes.Accepted.push_back(std::move(New));
   JobId Id = Changes.Accepted.front().Id;
-  Batches_->add(
-      std::move(Changes), [this, Alive = Alive_, Id, Done = std::move(Done)](
-                              const Outcome<geraniumbay::Done> &Was) {
-        Done(Was);
-        if (!*Alive || !Was)
-          return;
-        const Job *Of = findJob(Needs_.Store, Id);
-        if (!Of || Of->State != JobState::Active || Orders_.count(Id) != 0)
-          return;
-        Orders_[Id] = ++LastOrder_;
-        enqueueReady(*Of);
-        scheduleSoon();
-      });
+  Batches_->add(std::move(Changes),
+                [this, Alive = Alive_, Id, Done = std::move(Done)](
+                    const Outcome<geraniumbay::Done> &Result) {
+                  Done(Result);
+                  if (!*Alive || !Result)
+                    return;
+                  const Job *JobRecord = findJob(Deps_.Store, Id);
+                  if (!JobRecord || JobRecord->State != JobState::Active ||
+                      JobOrders_.count(Id) != 0)
+                    return;
+                  JobOrders_[Id] = ++LastJobOrder_;
+                  enqueueReady(*JobRecord);
+                  scheduleSoon();
+                });
 }
 
 void Scheduler::cancel(const JobId &Id, Callback Done) {
@@ -119,64 +120,66 @@
   Changes.Cancelled.push_back(Id);
   Batches_->add(std::move(Changes),
                 [this, Alive = Alive_, Id, Done = std::move(Done)](
-                    const Outcome<geraniumbay::Done> &Was) {
-                  Done(Was);
-                  if (*Alive && Was)
-                    jobSettled(Id);
+                    const Outcome<geraniumbay::Done> &Result) {
+                  Done(Result);
+                  if (*Alive && Result)
+                    onJobEnded(Id);
                 });
 }
 
 bool Scheduler::isBeingCompleted(const JobId &Id) const {
-  const Job *Of = findJob(Needs_.Store, Id);
-  if (!Of || Of->State != JobState::Active || Ending_.empty())
+  const Job *JobRecord = findJob(Deps_.Store, Id);
+  if (!JobRecord || JobRecord->State != JobState::Active || Ending_.empty())
     return false;
-  for (std::uint32_t Step = 0; Step < Of->Tasks.size(); ++Step)
-    for (std::uint32_t Index = 0; Index < Of->Tasks[Step].size(); ++Index)
-      if (!Of->Tasks[Step][Index].Done && Ending_.count({Id, Step, Index}) == 0)
+  for (std::uint32_t Step = 0; Step < JobRecord->Tasks.size(); ++Step)
+    for (std::uint32_t Index = 0; Index < JobRecord->Tasks[Step].size();
+         ++Index)
+      if (!JobRecord->Tasks[Step][Index].Done &&
+          Ending_.count({Id, Step, Index}) == 0)
         return false;
   return true;
 }
 
-void Scheduler::whenRecorded(const JobId &Id, std::function<void()> Run) {
+void Scheduler::whenRecorded(const JobId &Id, std::function<void()> Then) {
   if (!isBeingCompleted(Id))
-    return Run();
-  Askers_.emplace(Id, std::move(Run));
+    return Then();
+  RecordingCallbacks_.emplace(Id, std::move(Then));
 }
 
-void Scheduler::runRecorded(const JobId &Id) {
-  auto [First, Last] = Askers_.equal_range(Id);
+void Scheduler::runRecordingCallbacks(const JobId &Id) {
+  auto [First, Last] = RecordingCallbacks_.equal_range(Id);
   std::vector<std::function<void()>> Due;
   for (auto It = First; It != Last; ++It)
     Due.push_back(std::move(It->second));
-  Askers_.erase(First, Last);
-  for (const std::function<void()> &Run : Due)
-    Run();
+  RecordingCallbacks_.erase(First, Last);
+  for (const std::function<void()> &Then : Due)
+    Then();
 }
 
 std::size_t Scheduler::pending(const QueueName &Queue) const {
   std::size_t Count = 0;
-  for (const auto &[Id, Order] : Orders_) {
-    const Job *Of = jobOf(Id);
-    if (Of && Of->Queue == Queue && !hasBegun(Id))
+  for (const auto &[Id, Order] : JobOrders_) {
+    const Job *JobRecord = jobOf(Id);
+    if (JobRecord && JobRecord->Queue == Queue && !hasBegun(Id))
       ++Count;
   }
   return Count;
 }
 
-bool Scheduler::mayHaveEarlierRun(const Job &Of) const {
-  if (Of.Spec.Transient)
-    return Unsettled_.count(Of.Id) != 0;
-  return !TakenOver_ && Of.AcceptedIn != Token_;
+bool Scheduler::mayHaveEarlierRun(const Job &JobRecord) const {
+  if (JobRecord.Spec.Transient)
+    return Unsettled_.count(JobRecord.Id) != 0;
+  return !TakenOver_ && JobRecord.AcceptedIn != Token_;
 }
 
-void Scheduler::enqueueReady(const Job &Of) {
-  if (mayHaveEarlierRun(Of))
+void Scheduler::enqueueReady(const Job &JobRecord) {
+  if (mayHaveEarlierRun(JobRecord))
     return;
-  for (std::uint32_t Step = 0; Step < Of.Tasks.size(); ++Step) {
-    if (!dependenciesDone(Of, Step))
+  for (std::uint32_t Step = 0; Step < JobRecord.Tasks.size(); ++Step) {
+    if (!dependenciesDone(JobRecord, Step))
       continue;
-    for (std::uint32_t Index = 0; Index < Of.Tasks[Step].size(); ++Index)
-      enqueue({Of.Id, Step, Index});
+    for (std::uint32_t Index = 0; Index < JobRecord.Tasks[Step].size(); ++Index)
+      enqueue({JobRecord.Id, Step, Index});
   }
 }
 
@@ -186,17 +189,18 @@
       Ranks_.count(Id) != 0 || Ending_.count(Id) != 0 ||
       Leaving_.count(Id.Job) != 0)
     return;
-  const Job &Of = *jobOf(Id.Job);
-  if (mayHaveEarlierRun(Of) || !dependenciesDone(Of, Id.Step))
+  const Job &JobRecord = *jobOf(Id.Job);
+  if (mayHaveEarlierRun(JobRecord) || !dependenciesDone(JobRecord, Id.Step))
     return;
-  const StepSpec &Step = Of.Spec.Steps[Id.Step];
-  TaskRank Rank{Of.Priority, isLate(Id.Job), Orders_[Id.Job], Id.Step,
+  const StepSpec &Step = JobRecord.Spec.Steps[Id.Step];
+  TaskRank Rank{JobRecord.Priority, isLate(Id.Job), JobOrders_[Id.Job], Id.Step,
                 Id.Index};
   // Jobs of earlier terms have one order; the id keeps their ranks apart.
   while (Queue_.count(Rank) != 0)
     ++Rank.Index;
-  Queue_.emplace(Rank, WaitingTask{Id, Step.Needs, Of.Service,
-                                   expectedRun(Of, Step, Needs_.Clock.now())});
+  Queue_.emplace(Rank,
+                 WaitingTask{Id, Step.Needs, JobRecord.Service,
+                             expectedRun(JobRecord, Step, Deps_.Clock.now())});
   Ranks_.emplace(Id, Rank);
 }
 
@@ -209,75 +213,77 @@
   });
 }
 
-void Scheduler::jobSettled(const JobId &Id) {
-  if (Orders_.erase(Id) == 0)
+void Scheduler::onJobEnded(const JobId &Id) {
+  if (JobOrders_.erase(Id) == 0)
     return;
-  const Job *Of = jobOf(Id);
-  const char *State = Of ? jobStateName(Of->State) : "forgotten";
+  const Job *JobRecord = jobOf(Id);
+  const char *State = JobRecord ? jobStateName(JobRecord->State) : "forgotten";
   logEvent(LogLevel::Info, Module, "job_ended",
            {{"job", Id},
             {"state", State},
             {"token", Token_.value()},
-            {"took_us", tookSoFar(Id).count()},
+            {"took_us", timeSinceArrival(Id).count()},
             {"waiting_tasks", Queue_.size()}});
-  Needs_.Measured.count("geraniumbay_jobs_ended_total", "Jobs that ended.",
-                        {{"state", State}});
+  Deps_.Measured.count("geraniumbay_jobs_ended_total", "Jobs that ended.",
+                       {{"state", State}});
   forgetWaiting(Id);
   std::erase_if(FailedAt_,
                 [&](const auto &Entry) { return Entry.first.Job == Id; });
   stopRunsOf(Id);
   if (!isTransient(Id)) {
     Begun_.erase(Id);
-    Settled_.emplace_back(Needs_.Clock.now(), Id);
+    EndedJobs_.emplace_back(Deps_.Clock.now(), Id);
     return;
   }
   Unsettled_.erase(Id);
   Leaving_.erase(Id);
-  if (Of)
-    answerWaiters(Id, endOf(Id, Of->State));
+  if (JobRecord)
+    answerWaiters(Id, endOf(Id, JobRecord->State));
   Begun_.erase(Id);
-  Answered_.emplace_back(Needs_.Clock.now(), Id);
+  EndedTransients_.emplace_back(Deps_.Clock.now(), Id);
 }
 
 TransientEnd Scheduler::endOf(const JobId &Id, JobState State) const {
-  auto Found = Waiters_.find(Id);
-  if (Found == Waiters_.end())
+  auto Found = ActiveTransients_.find(Id);
+  if (Found == ActiveTransients_.end())
     return endedAs(State);
-  const Waiters &Job = Found->second;
+  const ActiveTransient &Job = Found->second;
   bool HasRun = Job.Evacuated && hasBegun(Id);
   return {State, Job.Reason, Job.RetryAfter, Job.Evacuated, HasRun};
 }
 
-Duration Scheduler::tookSoFar(const JobId &Id) const {
-  auto Found = Waiters_.find(Id);
-  return Found == Waiters_.end() ? Duration(0)
-                                 : Needs_.Clock.now() - Found->second.Since;
+Duration Scheduler::timeSinceArrival(const JobId &Id) const {
+  auto Found = ActiveTransients_.find(Id);
+  return Found == ActiveTransients_.end()
+             ? Duration(0)
+             : Deps_.Clock.now() - Found->second.Since;
 }
 
-void Scheduler::committed(const JobChanges &Changes) {
+void Scheduler::onCommitted(const JobChanges &Changes) {
   for (const TaskEnd &End : Changes.Ended) {
-    const Job *Of = jobOf(End.Task.Job);
-    if (!Of)
+    const Job *JobRecord = jobOf(End.Task.Job);
+    if (!JobRecord)
       continue;
-    if (Of->State != JobState::Active) {
+    if (JobRecord->State != JobState::Active) {
       LastRuns_.erase(End.Task);
-      jobSettled(End.Task.Job);
+      onJobEnded(End.Task.Job);
       continue;
     }
     if (End.Succeeded)
-      enqueueReady(*Of);
+      enqueueReady(*JobRecord);
     else
       enqueue(End.Task);
   }
   scheduleSoon();
 }
 
-void Scheduler::forgetSettled(Time Now) {
+void Scheduler::forgetEndedJobs(Time Now) {
   JobChanges Changes;
-  while (!Settled_.empty() && Changes.Forgotten.size() < MaxForgotten &&
-         Now - Settled_.front().first >= KeepSettled) {
-    Changes.Forgotten.push_back(Settled_.front().second);
-    Settled_.pop_front();
+  while (!EndedJobs_.empty() &&
+         Changes.Forgotten.size() < MaxForgottenPerBatch &&
+         Now - EndedJobs_.front().first >= EndedJobRetention) {
+    Changes.Forgotten.push_back(EndedJobs_.front().second);
+    EndedJobs_.pop_front();
   }
   if (!Changes.empty() && Batches_)
     Batches_->add(std::move(Changes), [](const Outcome<Done> & /*Was*/) {
@@ -287,7 +293,7 @@
 
 void Scheduler::takeOver() {
   TakenOver_ = true;
-  for (const auto *Store : {&Needs_.Store, &std::as_const(Transient_)})
+  for (const auto *Store : {&Deps_.Store, &std::as_const(Transient_)})
     for (const auto &[Id, Each] : Store->Jobs)
       if (Each.State == JobState::Active)
         enqueueReady(Each);
@@ -299,28 +305,28 @@
 }
 
 void Scheduler::takeOverIfAllKnown() {
-  if (TakenOver_ || Sessions_.empty() || !Needs_.KnowsAllWorkers())
+  if (TakenOver_ || Sessions_.empty() || !Deps_.KnowsAllWorkers())
     return;
-  for (const auto &[Worker, With] : Sessions_)
-    if (!With.Known || With.Foreign)
+  for (const auto &[Worker, Session] : Sessions_)
+    if (!Session.Known || Session.Foreign)
       return;
   takeOver();
 }
 
 void Scheduler::tick() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   checkLeases(Now);
-  forgetSettled(Now);
+  forgetEndedJobs(Now);
   forgetTransient(Now);
   giveUpLate(Now);
   stopOrphans(Now);
   releaseUnsettled(Now);
   finishMoves();
-  noteEmptied();
-  if (!TakenOver_ && Now >= TakenOverAt_)
+  reportEmptied();
+  if (!TakenOver_ && Now >= TakeOverDeadline_)
     takeOver();
   scheduleSoon();
-  Needs_.Timers.after(TickInterval, [this, Alive = Alive_] {
+  Deps_.Timers.after(TickInterval, [this, Alive = Alive_] {
     if (*Alive)
       tick();
   });
--- a/src/jobs/internal/scheduler.h
+++ b/src/jobs/internal/scheduler.h
@@ -35,14 +35,14 @@
 namespace geraniumbay::jobs {
 
 /// What the scheduler works with; all of it outlives the scheduler.
-struct SchedulerNeeds {
+struct SchedulerDependencies {
   /// Names the pool in log lines.
   PoolName Pool;
   /// Whether this process owns the pool at this moment: asked right before
   /// orders are given.
-  std::function<bool()> MayOrder;
+  std::function<bool()> OwnsPool;
   /// Called when a worker refuses an order with this token: it obeys another.
-  std::function<void(FencingToken)> Fenced;
+  std::function<void(FencingToken)> OnFenced;
   /// Whether the workers taken so far include each one that an earlier owner
   /// may have used. If not, only time tells that its leases are over.
   std::function<bool()> KnowsAllWorkers;
@@ -73,12 +73,12 @@
 };
 
 /// How a transient job comes to its scheduler.
-struct Arrival {
+struct TransientRequest {
   WaiterId From;
   /// How long ago its caller sent it.
   Duration Age{0};
   /// How long its caller still waits.
-  Duration Patience{0};
+  Duration TimeLeft{0};
   /// Another owner may have started tasks of it: none starts before all workers
   /// have been looked at since now. A job that its caller sends again comes too
   /// late for that: by then the leases of earlier runs are over.
@@ -93,7 +93,8 @@
   /// its leadership, and what becomes of the job is open.
   using EndCallback = std::function<void(const Outcome<TransientEnd> &)>;
 
-  Scheduler(SchedulerNeeds Needs, FencingToken Token, LeaseSettings Lease);
+  Scheduler(SchedulerDependencies Deps, FencingToken Token,
+            LeaseSettings Lease);
   ~Scheduler();
   Scheduler(const Scheduler &) = delete;
   Scheduler &operator=(const Scheduler &) = delete;
@@ -102,7 +103,7 @@
   /// Goes on with a higher token. With \p OtherLetsGo the workers of another
   /// owner, which lets go, come to this one, and what runs there is kept for a
   /// while.
-  void raiseToken(FencingToken Token, bool OtherLetsGo);
+  void raiseToken(FencingToken Token, bool OtherReleasesOwnership);
   /// Whether all that runs on its workers is known here: no run is left that an
   /// earlier owner started and that belongs to no job of this one.
   bool isSettled() const;
@@ -110,7 +111,7 @@
   bool hasTakenOver() const { return TakenOver_; }
   /// Notes that all processes which may have owned the workers before this one
   /// were gone by \p At.
-  void noteEarlierOwnersGone(Time At);
+  void noteEarlierOwnersEnded(Time At);
   /// Whether the transient job \p Id is here, or its end, or a refusal that
   /// still stands.
   bool hasAnswerFor(const JobId &Id) const;
@@ -130,18 +131,19 @@
   /// Runs the transient job \p New, or joins it if it runs or has just ended.
   /// It is refused at once, or given up later, if it cannot end while its
   /// answer is of use.
-  void run(Job New, const Arrival &How, EndCallback Ended);
+  void run(Job New, const TransientRequest &Request, EndCallback Ended);
   /// Drops one who waits.
   void dropWaiter(const JobId &Id, const WaiterId &From);
   /// Drops what \p Origin waits for; a job that nobody waits for is stopped.
   void dropOrigin(const Endpoint &Origin);
   /// Drops what earlier processes of \p Origin waited for. Its callers come
   /// back elsewhere soon, and perhaps to another pool.
-  void dropEarlier(const Endpoint &Origin, std::uint64_t Incarnation);
+  void dropEarlierIncarnations(const Endpoint &Origin,
+                               std::uint64_t Incarnation);
   /// Tasks of transient jobs that may crash their workers.
   const SuspectsByJob &suspects() const { return Suspects_; }
   /// Takes what other owners have seen of them.
-  void takeSuspects(const SuspectsByJob &Seen) { merge(Suspects_, Seen); }
+  void mergeSuspects(const SuspectsByJob &Seen) { merge(Suspects_, Seen); }
   /// The entries that wait for jobs.
   std::set<Endpoint> origins() const;
   /// Cancels the job durably and calls back; its tasks are stopped.
@@ -151,19 +153,19 @@
   /// Calls back once what is known of the job's ends is in the log: at once, or
   /// after the commit under way if its last tasks have ended. One commit long,
   /// so that who asks right after the end is not told that the job still runs.
-  void whenRecorded(const JobId &Id, std::function<void()> Run);
+  void whenRecorded(const JobId &Id, std::function<void()> Then);
   /// How many jobs of \p Queue wait for their first start.
   std::size_t pending(const QueueName &Queue) const;
 
   /// Takes what is known of the workers now.
-  void takeWorkers(const WorkerDirectory &Directory);
+  void applyWorkers(const WorkerDirectory &Directory);
   /// Heeds the data centres that are evacuated from now on, and no more.
   void evacuationsChanged();
   /// How many tasks run in \p DataCentre.
   std::size_t runningIn(const DataCentreId &DataCentre) const;
 
 private:
-  struct Waiters;
+  struct ActiveTransient;
 
   // Lookups over durable and transient jobs.
   const Job *jobOf(const JobId &Id) const;
@@ -173,32 +175,35 @@
   }
 
   // Which transient jobs are served (intake.cpp).
-  scheduling::Admission admissionOf(const Job &New, const Waiters &Coming,
-                                    const scheduling::Waits &Known) const;
-  scheduling::Waits correctedFor(std::uint32_t Priority,
-                                 const scheduling::Waits &Known,
-                                 Time Now) const;
-  scheduling::Waits forecastFor(const Job &New, Time Now) const;
+  scheduling::Admission
+  decideAdmission(const Job &New, const ActiveTransient &Arriving,
+                  const scheduling::Waits &Uncorrected) const;
+  scheduling::Waits correctedWaits(std::uint32_t Priority,
+                                   const scheduling::Waits &Uncorrected,
+                                   Time Now) const;
+  scheduling::Waits forecastWaits(const Job &New, Time Now) const;
   bool isLate(const JobId &Id) const;
   bool knowsWorkersOf(const ServiceId &Service) const;
   /// Whether some worker would take each of the job's tasks if it were free.
-  bool fitsSomewhere(const Job &Of) const;
+  bool fitsAnyWorker(const Job &JobRecord) const;
   scheduling::PoolOutlook outlookFor(const Job &New, Time Now) const;
   /// What tasks can fill of the workers that take work of \p Service, in
   /// thousandths of a core.
   double usableCores(const ServiceId &Service) const;
   /// How long the job's longest chain of tasks runs.
-  Duration chainOf(const Job &Of, Time Now) const;
-  Duration expectedRun(const Job &Of, const StepSpec &Step, Time Now) const;
-  void noteTaken(const Job &New, Time Now);
+  Duration longestChain(const Job &JobRecord, Time Now) const;
+  Duration expectedRun(const Job &JobRecord, const StepSpec &Step,
+                       Time Now) const;
+  void noteAccepted(const Job &New, Time Now);
   void noteFirstStart(const JobId &Id, Time Now);
-  void noteRan(WorkerSession &On, const TaskId &Task, const TookTime &Times);
+  void noteRunTime(WorkerSession &Session, const TaskId &Task,
+                   const TookTime &Times);
   void giveUpLate(Time Now);
   /// Whether its caller may have come back elsewhere.
-  static bool isStale(const Waiters &Job, Time Now);
+  static bool isStale(const ActiveTransient &Job, Time Now);
   /// Whether a job that starts now cannot be in time any more, or of use if it
   /// is a late one.
-  static bool isHopeless(const Waiters &Job, Time Now);
+  static bool isHopeless(const ActiveTransient &Job, Time Now);
   /// Serves a job that cannot be in time any more as a late one, or gives it
   /// up.
   void reconsider(const JobId &Id, Time Now);
@@ -213,7 +218,7 @@
   void cancelTransient(const JobId &Id, const std::string &Reason,
                        Duration RetryAfter);
   void releaseUnsettled(Time Now);
-  void lookAround();
+  void queryAllWorkers();
   void adoptOrphans(const JobId &Id);
   bool hasOrphans(const JobId &Id) const;
   bool mayRun(const JobId &Id) const;
@@ -222,9 +227,9 @@
   // Jobs that leave an evacuated data centre (evacuationmoves.cpp).
   /// Whether the workers that could run \p Step of \p Of are all in evacuated
   /// data centres.
-  bool isShutOut(const Job &Of, const StepSpec &Step) const;
+  bool isShutOut(const Job &JobRecord, const StepSpec &Step) const;
   /// Whether that holds for a step that is to come.
-  bool isShutOut(const Job &Of) const;
+  bool isShutOut(const Job &JobRecord) const;
   /// Sends the transient jobs away that wait here in vain.
   void moveShutOut();
   void moveAway(const JobId &Id);
@@ -232,21 +237,21 @@
   TransientEnd noteShutOut(const JobId &Id, bool HasRun);
   /// Answers for those whose last run has ended.
   void finishMoves();
-  void noteEmptied();
+  void reportEmptied();
 
   // Jobs and their tasks (scheduler.cpp).
   void takeOver();
   void takeOverIfAllKnown();
-  void committed(const JobChanges &Changes);
-  void enqueueReady(const Job &Of);
+  void onCommitted(const JobChanges &Changes);
+  void enqueueReady(const Job &JobRecord);
   void enqueue(const TaskId &Id);
   void forgetWaiting(const JobId &Id);
-  void jobSettled(const JobId &Id);
+  void onJobEnded(const JobId &Id);
   TransientEnd endOf(const JobId &Id, JobState State) const;
   /// How long a transient job has been here.
-  Duration tookSoFar(const JobId &Id) const;
-  void forgetSettled(Time Now);
-  bool mayHaveEarlierRun(const Job &Of) const;
+  Duration timeSinceArrival(const JobId &Id) const;
+  void forgetEndedJobs(Time Now);
+  bool mayHaveEarlierRun(const Job &JobRecord) const;
   void tick();
 
   // Placement (placement.cpp), orders to start (startorders.cpp).
@@ -255,8 +260,8 @@
   WorkerSession *bestWorker(const WaitingTask &Task, Time Now);
   /// Whether a task is worth its run on a worker that takes \p Factor times as
   /// long as expected.
-  bool isWorthIt(const WaitingTask &Task, double Factor, Time Now) const;
-  void start(WorkerSession &On, const WaitingTask &Task);
+  bool isUsefulAtPace(const WaitingTask &Task, double Factor, Time Now) const;
+  void start(WorkerSession &Session, const WaitingTask &Task);
   /// What is sent with an order, to be compared when its answer comes.
   struct Sent {
     Time At;
@@ -269,8 +274,8 @@
   void checkStart(const WorkerId &Worker, const TaskId &Task, RunNumber Number);
   /// The same for an order that is still valid: one that the worker does not
   /// show is revoked.
-  void settleStart(const WorkerId &Worker, const TaskId &Task,
-                   RunNumber Number);
+  void resolveStart(const WorkerId &Worker, const TaskId &Task,
+                    RunNumber Number);
   void revokeStart(const WorkerId &Worker, const TaskId &Task,
                    RunNumber Number);
   bool isUnanswered(const WorkerId &Worker, const TaskId &Task,
@@ -279,21 +284,21 @@
                              RunNumber Number);
   void started(const WorkerId &Worker, const StartOrder &Order, Time Sent,
                const StartAnswer &Answer);
-  void noteTiming(const WorkerSession &On, Time Sent,
+  void noteTiming(const WorkerSession &Session, Time Sent,
                   const StartAnswer &Answer);
-  RunNumber nextRun(const Job &Of, const TaskId &Task);
+  RunNumber nextRun(const Job &JobRecord, const TaskId &Task);
 
   // Workers that are lost, and tasks that crash them (workerlosses.cpp).
-  void loseRuns(WorkerSession &On, const char *Reason,
-                scheduling::WorkerLoss How);
+  void loseRuns(WorkerSession &Session, const char *Reason,
+                scheduling::WorkerLoss Kind);
   /// Counts the losses against their tasks, which may start again if they are
   /// not given up.
-  void blame(std::vector<TaskLoss> Losses);
-  void blameDurably(const std::vector<TaskLoss> &Losses);
-  void lossesNoted(const std::vector<TaskLoss> &Losses);
+  void countLosses(std::vector<TaskLoss> Losses);
+  void countLossesDurably(const std::vector<TaskLoss> &Losses);
+  void onLossesCounted(const std::vector<TaskLoss> &Losses);
   /// The owner before may have lost a worker under each task of the job that
   /// does not run, and have been lost itself before it knew.
-  void blameForOwner(const JobId &Id);
+  void countPossibleLosses(const JobId &Id);
   void noteSuspects(const std::vector<TaskLoss> &Losses);
   void rememberSuspects(const TaskLoss &Loss);
   /// What was seen of the job's tasks before, here and at other schedulers.
@@ -302,7 +307,7 @@
   /// Whether one more worker may run suspects.
   bool mayHostMoreSuspects() const;
   /// Keeps a worker free for a suspected task that finds none without runs.
-  void reserveFor(const WaitingTask &Task, Time Now);
+  void reserveWorkerFor(const WaitingTask &Task, Time Now);
 
   // Conversations with workers (workerwatch.cpp).
   void hold(WorkerSession &With);
@@ -326,7 +331,7 @@
   void checkLeases(Time Now);
   WorkerSession *session(const WorkerId &Worker);
 
-  const SchedulerNeeds Needs_;
+  const SchedulerDependencies Deps_;
   FencingToken Token_;
   const LeaseSettings Lease_;
   /// Callbacks look here before they touch a scheduler that may be gone.
@@ -335,7 +340,7 @@
   std::unique_ptr<Batcher> Batches_;
 
   /// Tasks of jobs of earlier terms wait until then; see above.
-  Time TakenOverAt_;
+  Time TakeOverDeadline_;
   bool TakenOver_ = false;
 
   std::map<WorkerId, WorkerSession> Sessions_;
@@ -346,14 +351,14 @@
   TaskQueue Queue_;
   std::unordered_map<TaskId, TaskRank> Ranks_;
   /// The order of the active jobs.
-  std::unordered_map<JobId, std::uint64_t> Orders_;
-  std::uint64_t LastOrder_ = 0;
+  std::unordered_map<JobId, std::uint64_t> JobOrders_;
+  std::uint64_t LastJobOrder_ = 0;
   /// Whether every task of the job has ended well or is just being recorded.
   bool isBeingCompleted(const JobId &Id) const;
-  void runRecorded(const JobId &Id);
+  void runRecordingCallbacks(const JobId &Id);
 
   /// Those who ask for jobs that are being completed.
-  std::unordered_multimap<JobId, std::function<void()>> Askers_;
+  std::unordered_multimap<JobId, std::function<void()>> RecordingCallbacks_;
   /// Tasks whose end is on its way into the log. They must not start before it
   /// is there: it may be done, or have failed for the last time.
   std::unordered_set<TaskId> Ending_;
@@ -366,7 +371,7 @@
   /// Transient jobs that were refused or given up before they began, and when.
   std::map<JobId, std::pair<Time, TransientEnd>> Refused_;
   /// Jobs that have ended, oldest first, with the time.
-  std::deque<std::pair<Time, JobId>> Settled_;
+  std::deque<std::pair<Time, JobId>> EndedJobs_;
   bool ScheduleDue_ = false;
 
   /// Jobs that only this leader knows.
@@ -375,8 +380,8 @@
     WaiterId From;
     EndCallback Ended;
   };
-  struct Waiters {
-    std::vector<Waiter> Waiting;
+  struct ActiveTransient {
+    std::vector<Waiter> Waiters;
     Time Since;
     /// How old it was then.
     Duration Age{0};
@@ -396,11 +401,11 @@
     bool Evacuated = false;
   };
   /// Of transient jobs that are active.
-  std::unordered_map<JobId, Waiters> Waiters_;
+  std::unordered_map<JobId, ActiveTransient> ActiveTransients_;
   /// Transient jobs that leave; their runs are being stopped.
   std::unordered_set<JobId> Leaving_;
   /// Evacuated data centres where tasks of this owner still run.
-  std::set<DataCentreId> Emptying_;
+  std::set<DataCentreId> EmptyingDataCentres_;
   /// Tasks of unknown jobs that an earlier owner has left.
   struct Orphan {
     WorkerId Worker;
@@ -415,7 +420,7 @@
   Time OrphansUntil_;
   /// Jobs that may run under another owner, and since when they wait.
   std::unordered_map<JobId, Time> Unsettled_;
-  Time LookedAround_;
+  Time AllQueriedAt_;
 
   /// What was learned of each queue's tasks.
   std::unordered_map<QueueName, scheduling::RunTimeModel> RunTimes_;
@@ -424,7 +429,7 @@
   /// How far forecasts for jobs of each class of priority were off.
   std::array<scheduling::ForecastSkill, scheduling::PriorityClasses> Skills_;
   /// Transient jobs that have ended, oldest first.
-  std::deque<std::pair<Time, JobId>> Answered_;
+  std::deque<std::pair<Time, JobId>> EndedTransients_;
 };
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/startorders.cpp
+++ b/src/jobs/internal/startorders.cpp
@@ -22,7 +22,7 @@
 constexpr Duration RestAfterRefusal = std::chrono::milliseconds(100);
 /// An answer is asked for so long after an order has become invalid; clocks are
 /// read in whole milliseconds.
-constexpr Duration SettleMargin = std::chrono::milliseconds(2);
+constexpr Duration ClockMargin = std::chrono::milliseconds(2);
 /// The first run of a durable job's task that another leader may have started
 /// is numbered from its term, so that it is above all numbers of earlier
 /// leaders.
@@ -30,8 +30,8 @@
 
 } // namespace
 
-RunNumber Scheduler::nextRun(const Job &Of, const TaskId &Task) {
-  bool Own = Of.Spec.Transient || Of.AcceptedIn == Token_;
+RunNumber Scheduler::nextRun(const Job &JobRecord, const TaskId &Task) {
+  bool Own = JobRecord.Spec.Transient || JobRecord.AcceptedIn == Token_;
   std::uint64_t First = Own ? 1 : termOf(Token_).value() * RunsPerTerm + 1;
   std::uint64_t Recorded = taskOf(Task)->LastEnded.value();
   RunNumber &Last = LastRuns_[Task];
@@ -39,22 +39,22 @@
   return Last;
 }
 
-void Scheduler::start(WorkerSession &On, const WaitingTask &Task) {
-  const Job &Of = *jobOf(Task.Id.Job);
-  Time Now = Needs_.Clock.now();
+void Scheduler::start(WorkerSession &Session, const WaitingTask &Task) {
+  const Job &JobRecord = *jobOf(Task.Id.Job);
+  Time Now = Deps_.Clock.now();
   StartOrder Order;
   Order.Task = Task.Id;
-  Order.Run = nextRun(Of, Task.Id);
-  Order.Payload = Of.Spec.Payload;
-  Duration Valid = orderValidity(On, Lease_, Timing_, Now);
-  Order.LeaseUntil = leaseUntil(On, Lease_, Valid, Now);
+  Order.Run = nextRun(JobRecord, Task.Id);
+  Order.Payload = JobRecord.Spec.Payload;
+  Duration Valid = orderValidity(Session, Lease_, Timing_, Now);
+  Order.LeaseUntil = leaseUntil(Session, Lease_, Valid, Now);
   Order.Token = Token_;
-  noteLease(On, Lease_, Valid, Now);
-  addRun(On, Task.Id,
+  noteLease(Session, Lease_, Valid, Now);
+  addRun(Session, Task.Id,
          Run{Order.Run, Task.Needs, Now, false, false, Order.LeaseUntil,
              Task.Estimate, false, isSuspected(Task.Id)});
-  On.ReservedUntil = Time();
-  Places_[Task.Id] = On.Info.Worker;
+  Session.ReservedUntil = Time();
+  Places_[Task.Id] = Session.Info.Worker;
   Begun_.insert(Task.Id.Job);
   if (Order.Run == RunNumber(1))
     noteFirstStart(Task.Id.Job, Now);
@@ -63,41 +63,41 @@
             {"step", Task.Id.Step},
             {"index", Task.Id.Index},
             {"run", Order.Run.value()},
-            {"worker", On.Info.Worker},
-            {"pool", Needs_.Pool},
+            {"worker", Session.Info.Worker},
+            {"pool", Deps_.Pool},
             {"token", Token_.value()}});
   // By then the worker's clock has passed the order's time, so that its answer
   // to a question tells.
-  Needs_.Timers.after(leaseBound(Lease_, Valid) - Lease_.KillTime +
-                          SettleMargin,
-                      [this, Alive = Alive_, Worker = On.Info.Worker,
-                       Task = Task.Id, Number = Order.Run] {
-                        if (*Alive)
-                          checkStart(Worker, Task, Number);
-                      });
+  Deps_.Timers.after(leaseBound(Lease_, Valid) - Lease_.KillTime + ClockMargin,
+                     [this, Alive = Alive_, Worker = Session.Info.Worker,
+                      Task = Task.Id, Number = Order.Run] {
+                       if (*Alive)
+                         checkStart(Worker, Task, Number);
+                     });
   Duration Usual =
       scheduling::orderValidity(Timing_, Lease_.OrderValid, Lease_.Longest);
   if (Usual < Valid)
-    Needs_.Timers.after(Usual, [this, Alive = Alive_, Worker = On.Info.Worker,
-                                Task = Task.Id, Number = Order.Run] {
-      if (*Alive)
-        settleStart(Worker, Task, Number);
-    });
-  Needs_.Workers.start({On.Info.Worker, On.Info.At}, Order,
-                       [this, Alive = Alive_, Worker = On.Info.Worker, Order,
-                        Now](const StartAnswer &Answer) {
+    Deps_.Timers.after(Usual,
+                       [this, Alive = Alive_, Worker = Session.Info.Worker,
+                        Task = Task.Id, Number = Order.Run] {
                          if (*Alive)
-                           started(Worker, Order, Now, Answer);
+                           resolveStart(Worker, Task, Number);
                        });
+  Deps_.Workers.start({Session.Info.Worker, Session.Info.At}, Order,
+                      [this, Alive = Alive_, Worker = Session.Info.Worker,
+                       Order, Now](const StartAnswer &Answer) {
+                        if (*Alive)
+                          started(Worker, Order, Now, Answer);
+                      });
 }
 
 bool Scheduler::isUnanswered(const WorkerId &Worker, const TaskId &Task,
                              RunNumber Number) {
-  const WorkerSession *On = session(Worker);
-  if (!On)
+  const WorkerSession *Session = session(Worker);
+  if (!Session)
     return false;
-  auto Found = On->Runs.find(Task);
-  return Found != On->Runs.end() && Found->second.Number == Number &&
+  auto Found = Session->Runs.find(Task);
+  return Found != Session->Runs.end() && Found->second.Number == Number &&
          !Found->second.Confirmed;
 }
 
@@ -119,8 +119,8 @@
   look(*session(Worker));
 }
 
-void Scheduler::settleStart(const WorkerId &Worker, const TaskId &Task,
-                            RunNumber Number) {
+void Scheduler::resolveStart(const WorkerId &Worker, const TaskId &Task,
+                             RunNumber Number) {
   if (!isUnanswered(Worker, Task, Number))
     return;
   noteUnanswered(Worker, Task, Number);
@@ -137,23 +137,23 @@
     if (!*Alive || !At || !isUnanswered(Worker, Task, Number))
       return;
     session(Worker)->Runs.at(Task).ShownAfter = *At;
-    Needs_.Timers.after(SettleMargin, [this, Alive, Worker] {
-      WorkerSession *On = *Alive ? session(Worker) : nullptr;
-      if (On)
-        look(*On);
+    Deps_.Timers.after(ClockMargin, [this, Alive, Worker] {
+      WorkerSession *Session = *Alive ? session(Worker) : nullptr;
+      if (Session)
+        look(*Session);
     });
   };
-  WorkerSession &On = *session(Worker);
-  Needs_.Workers.stop({Worker, On.Info.At}, {Task, Number, Token_},
-                      std::move(Stopped));
+  WorkerSession &Session = *session(Worker);
+  Deps_.Workers.stop({Worker, Session.Info.At}, {Task, Number, Token_},
+                     std::move(Stopped));
 }
 
-void Scheduler::noteTiming(const WorkerSession &On, Time Sent,
+void Scheduler::noteTiming(const WorkerSession &Session, Time Sent,
                            const StartAnswer &Answer) {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (Answer.Result != StartResult::Unknown)
     return scheduling::noteAnswered(Timing_, Now - Sent);
-  if (On.LookedAt > Sent)
+  if (Session.LookedAt > Sent)
     scheduling::noteAnswerLost(Timing_, Now);
 }
 
@@ -161,23 +161,23 @@
                         Time Sent, const StartAnswer &Answer) {
   const TaskId &Task = Order.Task;
   RunNumber Number = Order.Run;
-  Needs_.Measured.count("geraniumbay_starts_total",
-                        "Orders to start a task, by what came of them.",
-                        {{"result", startResultName(Answer.Result)}});
-  WorkerSession *On = session(Worker);
-  if (!On)
+  Deps_.Measured.count("geraniumbay_starts_total",
+                       "Orders to start a task, by what came of them.",
+                       {{"result", startResultName(Answer.Result)}});
+  WorkerSession *Session = session(Worker);
+  if (!Session)
     return;
-  noteTiming(*On, Sent, Answer);
+  noteTiming(*Session, Sent, Answer);
   if (Answer.Result == StartResult::Gone)
     return dropWorker(Worker, "another incarnation answered",
                       scheduling::WorkerLoss::Crashed);
   // A worker that finds an order late shows how far its clock has come.
   if (Answer.Clock)
-    noteMoment(*On, *Answer.Clock, Needs_.Clock.now());
+    noteMoment(*Session, *Answer.Clock, Deps_.Clock.now());
   if (Answer.Result == StartResult::Fenced)
-    return Needs_.Fenced(Order.Token);
-  auto Found = On->Runs.find(Task);
-  if (Found == On->Runs.end() || Found->second.Number != Number)
+    return Deps_.OnFenced(Order.Token);
+  auto Found = Session->Runs.find(Task);
+  if (Found == Session->Runs.end() || Found->second.Number != Number)
     return;
   if (Answer.Result == StartResult::Started) {
     Found->second.Confirmed = true;
@@ -194,17 +194,17 @@
             {"result", startResultName(Answer.Result)}});
   if (Answer.Result == StartResult::Unknown) {
     // A stop that arrives first makes the worker refuse the start later.
-    Needs_.Workers.stop({Worker, On->Info.At}, {Task, Number, Token_});
+    Deps_.Workers.stop({Worker, Session->Info.At}, {Task, Number, Token_});
     return;
   }
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (Answer.Result != StartResult::Late &&
       Answer.Result != StartResult::OutOfOrder)
-    On->RestUntil = Now + RestAfterRefusal;
+    Session->RestUntil = Now + RestAfterRefusal;
   Resources Needs = Found->second.Needs;
-  removeRun(*On, Task);
+  removeRun(*Session, Task);
   if (Answer.Result == StartResult::NoRoom)
-    noteNoRoom(*On, Needs, Now);
+    noteNoRoom(*Session, Needs, Now);
   Places_.erase(Task);
   enqueue(Task);
   scheduleSoon();
--- a/src/jobs/internal/suspects.cpp
+++ b/src/jobs/internal/suspects.cpp
@@ -12,52 +12,54 @@
 namespace {
 
 /// Jobs that one message names.
-constexpr std::size_t MostJobs = 32;
+constexpr std::size_t MaxJobsPerMessage = 32;
 
 } // namespace
 
-SuspectTask &rowOf(std::vector<SuspectTask> &In, std::uint32_t Step,
-                   std::uint32_t Index) {
-  auto Found = std::find_if(In.begin(), In.end(), [&](const SuspectTask &Each) {
-    return Each.Step == Step && Each.Index == Index;
-  });
-  if (Found != In.end())
+SuspectTask &findOrAddRow(std::vector<SuspectTask> &Tasks, std::uint32_t Step,
+                          std::uint32_t Index) {
+  auto Found =
+      std::find_if(Tasks.begin(), Tasks.end(), [&](const SuspectTask &Each) {
+        return Each.Step == Step && Each.Index == Index;
+      });
+  if (Found != Tasks.end())
     return *Found;
-  return In.emplace_back(SuspectTask{Step, Index, {}});
+  return Tasks.emplace_back(SuspectTask{Step, Index, {}});
 }
 
 void merge(std::vector<SuspectTask> &Into,
            const std::vector<SuspectTask> &Other) {
   for (const SuspectTask &Each : Other)
-    scheduling::merge(rowOf(Into, Each.Step, Each.Index).Seen, Each.Seen);
+    scheduling::merge(findOrAddRow(Into, Each.Step, Each.Index).Seen,
+                      Each.Seen);
 }
 
 void merge(SuspectsByJob &Into, const SuspectsByJob &Other) {
-  for (const auto &[Id, Told] : Other) {
+  for (const auto &[Id, Reported] : Other) {
     RememberedSuspects &Kept = Into[Id];
-    Kept.Since = std::max(Kept.Since, Told.Since);
-    merge(Kept.Tasks, Told.Tasks);
+    Kept.Since = std::max(Kept.Since, Reported.Since);
+    merge(Kept.Tasks, Reported.Tasks);
   }
 }
 
-void forgetOld(SuspectsByJob &Of, Time Now) {
-  std::erase_if(Of, [&](const auto &Entry) {
+void forgetOld(SuspectsByJob &Suspects, Time Now) {
+  std::erase_if(Suspects, [&](const auto &Entry) {
     return Now - Entry.second.Since >= KeepSuspects;
   });
 }
 
 namespace wire {
 
-Json::Value write(const SuspectsByJob &Of, Time Now) {
+Json::Value write(const SuspectsByJob &Suspects, Time Now) {
   using Entry = SuspectsByJob::value_type;
   std::vector<const Entry *> Latest;
-  for (const Entry &Each : Of)
+  for (const Entry &Each : Suspects)
     Latest.push_back(&Each);
   std::sort(Latest.begin(), Latest.end(),
             [](const Entry *One, const Entry *Other) {
               return One->second.Since > Other->second.Since;
             });
-  Latest.resize(std::min(Latest.size(), MostJobs));
+  Latest.resize(std::min(Latest.size(), MaxJobsPerMessage));
   Json::Value Result;
   for (const Entry *Each : Latest) {
     Json::Value &Row = Result[Each->first.value()];
--- a/src/jobs/internal/suspects.h
+++ b/src/jobs/internal/suspects.h
@@ -15,8 +15,8 @@
 namespace geraniumbay::jobs {
 
 /// The row of one task, which is added if it is missing.
-SuspectTask &rowOf(std::vector<SuspectTask> &In, std::uint32_t Step,
-                   std::uint32_t Index);
+SuspectTask &findOrAddRow(std::vector<SuspectTask> &Tasks, std::uint32_t Step,
+                          std::uint32_t Index);
 
 /// Joins what was seen of one job's tasks.
 void merge(std::vector<SuspectTask> &Into,
@@ -25,12 +25,12 @@
 void merge(SuspectsByJob &Into, const SuspectsByJob &Other);
 
 /// Forgets what is older than KeepSuspects.
-void forgetOld(SuspectsByJob &Of, Time Now);
+void forgetOld(SuspectsByJob &Suspects, Time Now);
 
 namespace wire {
 
 /// The latest findings, with their ages; null if there are none.
-Json::Value write(const SuspectsByJob &Of, Time Now);
+Json::Value write(const SuspectsByJob &Suspects, Time Now);
 /// Leaves out what is malformed.
 SuspectsByJob readSuspectsByJob(const Json::Value &From, Time Now);
 
--- a/src/jobs/internal/transientjobs.cpp
+++ b/src/jobs/internal/transientjobs.cpp
@@ -18,26 +18,27 @@
 constexpr const char *Module = "jobs";
 /// How long the end of a job is remembered for callers that send it again
 /// because its answer was lost; they do so within seconds.
-constexpr Duration KeepAnswered = std::chrono::seconds(10);
+constexpr Duration TransientEndRetention = std::chrono::seconds(10);
 /// A refusal stands for so long: the entry that heard it takes the job to
 /// another pool, while a second sending of the same job may still be on its way
 /// here. Callers come back after a second at the earliest.
-constexpr Duration RefusalStands = std::chrono::milliseconds(500);
+constexpr Duration RefusalRetention = std::chrono::milliseconds(500);
 /// When it is worth coming back with a job for which all workers are too small:
 /// they announce their room about every second.
-constexpr Duration RetryAfterSize = std::chrono::seconds(2);
+constexpr Duration RetryAfterTooLarge = std::chrono::seconds(2);
 /// How often all workers are looked at while jobs wait for that.
-constexpr Duration LookInterval = std::chrono::milliseconds(20);
+constexpr Duration QueryInterval = std::chrono::milliseconds(20);
 
 } // namespace
 
-void Scheduler::run(Job New, const Arrival &How, EndCallback Ended) {
+void Scheduler::run(Job New, const TransientRequest &Request,
+                    EndCallback Ended) {
   JobId Id = New.Id;
   if (auto Found = Refused_.find(Id); Found != Refused_.end())
     return Ended(Found->second.second);
   if (const Job *Known = findJob(Transient_, Id)) {
     if (Known->State == JobState::Active) {
-      Waiters_[Id].Waiting.push_back({How.From, std::move(Ended)});
+      ActiveTransients_[Id].Waiters.push_back({Request.From, std::move(Ended)});
       return;
     }
     // One that was given up before it began may be handed in again.
@@ -45,86 +46,86 @@
       return Ended(endedAs(Known->State));
     Transient_.Jobs.erase(Id);
   }
-  Time Now = Needs_.Clock.now();
-  Waiters Coming;
-  Coming.Since = Now;
-  Coming.Age = How.Age;
-  Coming.Chain = chainOf(New, Now);
-  Coming.Useful = scheduling::usefulnessOf(New.Promised, Coming.Chain,
-                                           Now - How.Age, Now + How.Patience);
-  Coming.NotStarted = firstTasks(New.Spec);
+  Time Now = Deps_.Clock.now();
+  ActiveTransient Arriving;
+  Arriving.Since = Now;
+  Arriving.Age = Request.Age;
+  Arriving.Chain = longestChain(New, Now);
+  Arriving.Useful = scheduling::usefulnessOf(
+      New.Promised, Arriving.Chain, Now - Request.Age, Now + Request.TimeLeft);
+  Arriving.NotStarted = firstTasks(New.Spec);
   New.Suspects = knownSuspects(New);
   bool Guilty =
       std::any_of(New.Suspects.begin(), New.Suspects.end(),
                   [](const SuspectTask &Each) { return Each.Seen.Guilty; });
   if (Guilty)
     return Ended(endedAs(JobState::Failed, CrashReason));
-  bool RunsNowhere = !How.MaybeTaken && !hasOrphans(Id);
+  bool RunsNowhere = !Request.MaybeTaken && !hasOrphans(Id);
   if (RunsNowhere && isShutOut(New))
     return Ended(noteShutOut(Id, false));
   // Right after a take-over nobody can tell how long it will wait.
   if (RunsNowhere && knowsWorkersOf(New.Service)) {
-    if (!fitsSomewhere(New))
+    if (!fitsAnyWorker(New))
       return Ended(
           noteRefusal(Id, refusalOf("no worker is large enough for its tasks",
-                                    RetryAfterSize)));
-    scheduling::Waits Known = forecastFor(New, Now);
-    scheduling::Admission Decided = admissionOf(New, Coming, Known);
+                                    RetryAfterTooLarge)));
+    scheduling::Waits Waits = forecastWaits(New, Now);
+    scheduling::Admission Decided = decideAdmission(New, Arriving, Waits);
     if (Decided.What == scheduling::Verdict::Refused)
       return Ended(
           noteRefusal(Id, refusalOf("the backlog is too long to end in time",
                                     Decided.RetryAfter)));
-    Coming.Late = Decided.What == scheduling::Verdict::Late;
-    if (!Coming.Late)
-      Coming.Forecast = Known.InTurn;
+    Arriving.Late = Decided.What == scheduling::Verdict::Late;
+    if (!Arriving.Late)
+      Arriving.Forecast = Waits.InTurn;
   }
-  Coming.Waiting.push_back({How.From, std::move(Ended)});
-  Waiters_[Id] = std::move(Coming);
+  Arriving.Waiters.push_back({Request.From, std::move(Ended)});
+  ActiveTransients_[Id] = std::move(Arriving);
   New.AcceptedIn = Token_;
-  noteTaken(New, Now);
+  noteAccepted(New, Now);
   JobChanges Changes;
   Changes.Accepted.push_back(std::move(New));
   apply(Transient_, Changes);
   logEvent(LogLevel::Info, Module, "job_taken",
            {{"job", Id},
-            {"origin", How.From.Origin.text()},
-            {"serial", How.From.Serial},
-            {"pool", Needs_.Pool},
-            {"maybe_taken", How.MaybeTaken},
+            {"origin", Request.From.Origin.text()},
+            {"serial", Request.From.Serial},
+            {"pool", Deps_.Pool},
+            {"maybe_taken", Request.MaybeTaken},
             {"token", Token_.value()},
-            {"age_us", How.Age.count()},
-            {"left_us", How.Patience.count()},
+            {"age_us", Request.Age.count()},
+            {"left_us", Request.TimeLeft.count()},
             {"waiting_tasks", Queue_.size()}});
-  Orders_[Id] = ++LastOrder_;
-  if (How.MaybeTaken) {
+  JobOrders_[Id] = ++LastJobOrder_;
+  if (Request.MaybeTaken) {
     Unsettled_[Id] = Now;
-    lookAround();
+    queryAllWorkers();
   }
   adoptOrphans(Id);
-  if (const Job *Of = findJob(Transient_, Id))
-    enqueueReady(*Of);
+  if (const Job *JobRecord = findJob(Transient_, Id))
+    enqueueReady(*JobRecord);
   scheduleSoon();
 }
 
 void Scheduler::adoptOrphans(const JobId &Id) {
   JobChanges Changes;
   std::vector<std::pair<TaskId, Orphan>> Own;
-  for (const auto &[Task, Left] : Orphans_)
+  for (const auto &[Task, OrphanRun] : Orphans_)
     if (Task.Job == Id)
-      Own.emplace_back(Task, Left);
-  for (const auto &[Task, Left] : Own) {
+      Own.emplace_back(Task, OrphanRun);
+  for (const auto &[Task, OrphanRun] : Own) {
     Orphans_.erase(Task);
-    WorkerSession *On = session(Left.Worker);
-    if (Left.Done)
-      Changes.Ended.push_back({Task, Left.Run, true});
-    else if (On && taskOf(Task))
-      adopt(*On, {Task, Left.Run});
+    WorkerSession *Session = session(OrphanRun.Worker);
+    if (OrphanRun.Done)
+      Changes.Ended.push_back({Task, OrphanRun.Run, true});
+    else if (Session && taskOf(Task))
+      adopt(*Session, {Task, OrphanRun.Run});
   }
   if (Changes.empty())
     return;
   Begun_.insert(Id);
   apply(Transient_, Changes);
-  committed(Changes);
+  onCommitted(Changes);
 }
 
 bool Scheduler::isSettled() const {
@@ -165,93 +166,95 @@
   for (const auto &[Id, Each] : Transient_.Jobs)
     if (has(Id))
       Result.push_back(Id);
-  for (const auto &[Task, Left] : Orphans_)
+  for (const auto &[Task, OrphanRun] : Orphans_)
     if (!findJob(Transient_, Task.Job))
       Result.push_back(Task.Job);
   return Result;
 }
 
-void Scheduler::lookAround() {
-  Time Now = Needs_.Clock.now();
-  if (Now - LookedAround_ < LookInterval)
+void Scheduler::queryAllWorkers() {
+  Time Now = Deps_.Clock.now();
+  if (Now - AllQueriedAt_ < QueryInterval)
     return;
-  LookedAround_ = Now;
-  for (auto &[Worker, With] : Sessions_)
-    look(With);
+  AllQueriedAt_ = Now;
+  for (auto &[Worker, Session] : Sessions_)
+    look(Session);
 }
 
 void Scheduler::releaseUnsettled(Time Now) {
   if (Unsettled_.empty())
     return;
   // A worker that is not known here may still run tasks of these jobs.
-  Time LeastLooked = Needs_.KnowsAllWorkers() ? Now : Time();
-  for (const auto &[Worker, With] : Sessions_)
-    LeastLooked = std::min(LeastLooked, With.LookedAt);
+  Time LeastLooked = Deps_.KnowsAllWorkers() ? Now : Time();
+  for (const auto &[Worker, Session] : Sessions_)
+    LeastLooked = std::min(LeastLooked, Session.LookedAt);
   std::vector<JobId> Settled;
   for (const auto &[Id, Since] : Unsettled_)
     if (Since < LeastLooked || Now - Since >= OwnerSilence + leaseBound(Lease_))
       Settled.push_back(Id);
   for (const JobId &Id : Settled) {
     Unsettled_.erase(Id);
-    blameForOwner(Id);
-    if (const Job *Of = findJob(Transient_, Id))
-      enqueueReady(*Of);
+    countPossibleLosses(Id);
+    if (const Job *JobRecord = findJob(Transient_, Id))
+      enqueueReady(*JobRecord);
   }
   if (!Unsettled_.empty())
-    lookAround();
+    queryAllWorkers();
 }
 
 void Scheduler::stopOrphans(Time Now) {
   if (Now < OrphansUntil_ || Orphans_.empty())
     return;
-  for (auto &[Task, Left] : Orphans_) {
-    WorkerSession *On = session(Left.Worker);
-    if (Left.Done || Left.Stopping || !On)
+  for (auto &[Task, OrphanRun] : Orphans_) {
+    WorkerSession *Session = session(OrphanRun.Worker);
+    if (OrphanRun.Done || OrphanRun.Stopping || !Session)
       continue;
-    On->Foreign = true;
-    Left.Stopping = true;
-    Needs_.Workers.stop({Left.Worker, On->Info.At}, {Task, Left.Run, Token_});
+    Session->Foreign = true;
+    OrphanRun.Stopping = true;
+    Deps_.Workers.stop({OrphanRun.Worker, Session->Info.At},
+                       {Task, OrphanRun.Run, Token_});
   }
   std::erase_if(Orphans_, [&](const auto &Entry) {
-    bool Gone = !Entry.second.Done && !session(Entry.second.Worker);
-    return Gone || Now >= OrphansUntil_ + KeepAnswered;
+    bool WorkerLost = !Entry.second.Done && !session(Entry.second.Worker);
+    return WorkerLost || Now >= OrphansUntil_ + TransientEndRetention;
   });
 }
 
 void Scheduler::cancelTransient(const JobId &Id, const std::string &Reason,
                                 Duration RetryAfter) {
-  if (auto Found = Waiters_.find(Id); Found != Waiters_.end()) {
+  if (auto Found = ActiveTransients_.find(Id);
+      Found != ActiveTransients_.end()) {
     Found->second.Reason = Reason;
     Found->second.RetryAfter = RetryAfter;
   }
   logEvent(LogLevel::Info, Module, "job_given_up",
            {{"job", Id},
-            {"pool", Needs_.Pool},
+            {"pool", Deps_.Pool},
             {"reason", Reason},
             {"begun", hasBegun(Id)}});
   if (Unsettled_.count(Id) != 0)
-    blameForOwner(Id);
+    countPossibleLosses(Id);
   JobChanges Changes;
   Changes.Cancelled.push_back(Id);
   apply(Transient_, Changes);
-  jobSettled(Id);
+  onJobEnded(Id);
 }
 
 std::set<Endpoint> Scheduler::origins() const {
   std::set<Endpoint> Result;
-  for (const auto &[Id, Job] : Waiters_)
-    for (const Waiter &Each : Job.Waiting)
+  for (const auto &[Id, Job] : ActiveTransients_)
+    for (const Waiter &Each : Job.Waiters)
       Result.insert(Each.From.Origin);
   return Result;
 }
 
 void Scheduler::dropWaiter(const JobId &Id, const WaiterId &From) {
-  auto Found = Waiters_.find(Id);
-  if (Found == Waiters_.end())
+  auto Found = ActiveTransients_.find(Id);
+  if (Found == ActiveTransients_.end())
     return;
-  std::erase_if(Found->second.Waiting,
+  std::erase_if(Found->second.Waiters,
                 [&](const Waiter &Each) { return Each.From == From; });
-  if (Found->second.Waiting.empty())
+  if (Found->second.Waiters.empty())
     cancelTransient(Id, "nobody waits for it", Duration(0));
 }
 
@@ -260,7 +263,8 @@
               "its entry is out of reach");
 }
 
-void Scheduler::dropEarlier(const Endpoint &Origin, std::uint64_t Incarnation) {
+void Scheduler::dropEarlierIncarnations(const Endpoint &Origin,
+                                        std::uint64_t Incarnation) {
   dropWaiters(
       [&](const WaiterId &From) {
         return From.Origin == Origin && From.Incarnation != Incarnation;
@@ -271,10 +275,10 @@
 void Scheduler::dropWaiters(const std::function<bool(const WaiterId &)> &Which,
                             const char *Reason) {
   std::vector<JobId> Empty;
-  for (auto &[Id, Job] : Waiters_) {
-    std::erase_if(Job.Waiting,
+  for (auto &[Id, Job] : ActiveTransients_) {
+    std::erase_if(Job.Waiters,
                   [&](const Waiter &Each) { return Which(Each.From); });
-    if (Job.Waiting.empty())
+    if (Job.Waiters.empty())
       Empty.push_back(Id);
   }
   for (const JobId &Id : Empty)
@@ -283,31 +287,32 @@
 
 void Scheduler::answerWaiters(const JobId &Id,
                               const Outcome<TransientEnd> &Ended) {
-  auto Found = Waiters_.extract(Id);
+  auto Found = ActiveTransients_.extract(Id);
   if (!Found)
     return;
-  for (const Waiter &Each : Found.mapped().Waiting)
+  for (const Waiter &Each : Found.mapped().Waiters)
     Each.Ended(Ended);
 }
 
 TransientEnd Scheduler::noteRefusal(const JobId &Id,
                                     const TransientEnd &Refusal) {
   logEvent(LogLevel::Info, Module, "job_declined",
-           {{"job", Id}, {"pool", Needs_.Pool}, {"reason", Refusal.Reason}});
-  Refused_[Id] = {Needs_.Clock.now(), Refusal};
+           {{"job", Id}, {"pool", Deps_.Pool}, {"reason", Refusal.Reason}});
+  Refused_[Id] = {Deps_.Clock.now(), Refusal};
   return Refusal;
 }
 
 void Scheduler::forgetTransient(Time Now) {
   forgetOld(Suspects_, Now);
   std::erase_if(Refused_, [&](const auto &Entry) {
-    return Now - Entry.second.first >= RefusalStands;
+    return Now - Entry.second.first >= RefusalRetention;
   });
-  while (!Answered_.empty() && Now - Answered_.front().first >= KeepAnswered) {
-    const Job *Of = findJob(Transient_, Answered_.front().second);
-    if (Of && Of->State != JobState::Active)
-      Transient_.Jobs.erase(Answered_.front().second);
-    Answered_.pop_front();
+  while (!EndedTransients_.empty() &&
+         Now - EndedTransients_.front().first >= TransientEndRetention) {
+    const Job *JobRecord = findJob(Transient_, EndedTransients_.front().second);
+    if (JobRecord && JobRecord->State != JobState::Active)
+      Transient_.Jobs.erase(EndedTransients_.front().second);
+    EndedTransients_.pop_front();
   }
 }
 
--- a/src/jobs/internal/workerlosses.cpp
+++ b/src/jobs/internal/workerlosses.cpp
@@ -17,80 +17,80 @@
 constexpr const char *Module = "jobs";
 /// A worker is kept free for so long for a task that must run alone: some times
 /// what tasks take.
-constexpr Duration ReservedFor = std::chrono::seconds(2);
+constexpr Duration ReservationTime = std::chrono::seconds(2);
 
 } // namespace
 
-void Scheduler::loseRuns(WorkerSession &On, const char *Reason,
-                         scheduling::WorkerLoss How) {
-  Needs_.Measured.count("geraniumbay_worker_losses_total",
-                        "Workers lost with tasks on them.",
-                        {{"how", scheduling::workerLossName(How)}});
+void Scheduler::loseRuns(WorkerSession &Session, const char *Reason,
+                         scheduling::WorkerLoss Kind) {
+  Deps_.Measured.count("geraniumbay_worker_losses_total",
+                       "Workers lost with tasks on them.",
+                       {{"how", scheduling::workerLossName(Kind)}});
   std::vector<TaskLoss> Lost;
-  for (const auto &[Task, Each] : On.Runs)
-    Lost.push_back({Task, How, On.Runs.size() == 1});
+  for (const auto &[Task, Each] : Session.Runs)
+    Lost.push_back({Task, Kind, Session.Runs.size() == 1});
   for (const TaskLoss &Each : Lost) {
     const TaskId &Task = Each.Task;
     logEvent(LogLevel::Warning, Module, "run_lost",
              {{"job", Task.Job},
               {"step", Task.Step},
               {"index", Task.Index},
-              {"worker", On.Info.Worker},
+              {"worker", Session.Info.Worker},
               {"reason", Reason},
-              {"loss", scheduling::workerLossName(How)},
+              {"loss", scheduling::workerLossName(Kind)},
               {"beside", Lost.size() - 1}});
-    removeRun(On, Task);
+    removeRun(Session, Task);
     Places_.erase(Task);
   }
   // One that leaves as planned was not crashed.
-  if (!On.Info.Draining)
-    return blame(std::move(Lost));
+  if (!Session.Info.Draining)
+    return countLosses(std::move(Lost));
   for (const TaskLoss &Each : Lost)
     enqueue(Each.Task);
 }
 
-void Scheduler::blame(std::vector<TaskLoss> Losses) {
+void Scheduler::countLosses(std::vector<TaskLoss> Losses) {
   auto Middle = std::stable_partition(
       Losses.begin(), Losses.end(), [&](const TaskLoss &Each) {
         // A job may have been forgotten while a run of it was being stopped.
-        return !findJob(Needs_.Store, Each.Task.Job);
+        return !findJob(Deps_.Store, Each.Task.Job);
       });
   std::vector<TaskLoss> Durable(Middle, Losses.end());
   Losses.erase(Middle, Losses.end());
   JobChanges Changes;
   Changes.Lost = std::move(Losses);
   apply(Transient_, Changes);
-  lossesNoted(Changes.Lost);
+  onLossesCounted(Changes.Lost);
   if (!Durable.empty())
-    blameDurably(Durable);
+    countLossesDurably(Durable);
 }
 
-void Scheduler::blameDurably(const std::vector<TaskLoss> &Losses) {
+void Scheduler::countLossesDurably(const std::vector<TaskLoss> &Losses) {
   // They must not start before the log holds what speaks against them.
   for (const TaskLoss &Each : Losses)
     Ending_.insert(Each.Task);
   JobChanges Changes;
   Changes.Lost = Losses;
   Batches_->add(std::move(Changes),
-                [this, Alive = Alive_, Losses](const Outcome<Done> &Was) {
+                [this, Alive = Alive_, Losses](const Outcome<Done> &Result) {
                   // Without an answer from the log this leader is none any
                   // more.
-                  if (!*Alive || !Was)
+                  if (!*Alive || !Result)
                     return;
                   for (const TaskLoss &Each : Losses)
                     Ending_.erase(Each.Task);
-                  lossesNoted(Losses);
+                  onLossesCounted(Losses);
                   for (const TaskLoss &Each : Losses)
-                    runRecorded(Each.Task.Job);
+                    runRecordingCallbacks(Each.Task.Job);
                 });
 }
 
-void Scheduler::lossesNoted(const std::vector<TaskLoss> &Losses) {
+void Scheduler::onLossesCounted(const std::vector<TaskLoss> &Losses) {
   noteSuspects(Losses);
   for (const TaskLoss &Each : Losses) {
     const JobId &Id = Each.Task.Job;
-    const Job *Of = jobOf(Id);
-    if (!Of)
+    const Job *JobRecord = jobOf(Id);
+    if (!JobRecord)
       continue;
     const TaskRecord *Record = taskOf(Each.Task);
     logEvent(LogLevel::Warning, Module, "task_lost_worker",
@@ -100,29 +100,31 @@
               {"loss", scheduling::workerLossName(Each.How)},
               {"alone", Each.Alone},
               {"suspected", !Record || Record->Seen.Suspected},
-              {"given_up", Of->State == JobState::Failed}});
-    if (Of->State == JobState::Active) {
+              {"given_up", JobRecord->State == JobState::Failed}});
+    if (JobRecord->State == JobState::Active) {
       enqueue(Each.Task);
       continue;
     }
-    Needs_.Measured.count("geraniumbay_crashing_tasks_total",
-                          "Tasks given up since they crash their workers.", {});
-    if (auto Waiting = Waiters_.find(Id); Waiting != Waiters_.end())
-      Waiting->second.Reason = CrashReason;
-    jobSettled(Id);
+    Deps_.Measured.count("geraniumbay_crashing_tasks_total",
+                         "Tasks given up since they crash their workers.", {});
+    if (auto Found = ActiveTransients_.find(Id);
+        Found != ActiveTransients_.end())
+      Found->second.Reason = CrashReason;
+    onJobEnded(Id);
   }
   scheduleSoon();
 }
 
-void Scheduler::blameForOwner(const JobId &Id) {
-  const Job *Of = findJob(Transient_, Id);
-  if (!Of)
+void Scheduler::countPossibleLosses(const JobId &Id) {
+  const Job *JobRecord = findJob(Transient_, Id);
+  if (!JobRecord)
     return;
   JobChanges Changes;
-  for (std::uint32_t Step = 0; Step < Of->Tasks.size(); ++Step)
-    for (std::uint32_t Index = 0; Index < Of->Tasks[Step].size(); ++Index) {
+  for (std::uint32_t Step = 0; Step < JobRecord->Tasks.size(); ++Step)
+    for (std::uint32_t Index = 0; Index < JobRecord->Tasks[Step].size();
+         ++Index) {
       TaskId Task{Id, Step, Index};
-      if (!Of->Tasks[Step][Index].Done && Places_.count(Task) == 0)
+      if (!JobRecord->Tasks[Step][Index].Done && Places_.count(Task) == 0)
         Changes.Lost.push_back({Task, scheduling::WorkerLoss::Silent, false});
     }
   apply(Transient_, Changes);
@@ -132,21 +134,22 @@
 void Scheduler::noteSuspects(const std::vector<TaskLoss> &Losses) {
   for (const TaskLoss &Each : Losses)
     rememberSuspects(Each);
-  if (!Losses.empty() && Needs_.SuspectsFound)
-    Needs_.SuspectsFound();
+  if (!Losses.empty() && Deps_.SuspectsFound)
+    Deps_.SuspectsFound();
 }
 
 void Scheduler::rememberSuspects(const TaskLoss &Loss) {
   const TaskId &Task = Loss.Task;
-  const Job *Of = findJob(Transient_, Task.Job);
-  if (!Of)
+  const Job *JobRecord = findJob(Transient_, Task.Job);
+  if (!JobRecord)
     return;
   RememberedSuspects &Kept = Suspects_[Task.Job];
-  Kept.Since = Needs_.Clock.now();
-  scheduling::Suspicion &Row = rowOf(Kept.Tasks, Task.Step, Task.Index).Seen;
+  Kept.Since = Deps_.Clock.now();
+  scheduling::Suspicion &Row =
+      findOrAddRow(Kept.Tasks, Task.Step, Task.Index).Seen;
   if (const TaskRecord *Record = taskOf(Task))
     scheduling::merge(Row, Record->Seen);
-  else if (Of->State == JobState::Failed)
+  else if (JobRecord->State == JobState::Failed)
     Row.Guilty = true;
   else
     scheduling::noteLoss(Row, Loss.How, Loss.Alone);
@@ -167,26 +170,26 @@
 
 bool Scheduler::mayHostMoreSuspects() const {
   std::size_t Hosts = 0;
-  for (const auto &[Worker, With] : Sessions_)
-    Hosts += hostsSuspect(With) ? 1 : 0;
+  for (const auto &[Worker, Session] : Sessions_)
+    Hosts += hostsSuspect(Session) ? 1 : 0;
   return Hosts < scheduling::mostWorkersOfSuspects(Sessions_.size());
 }
 
-void Scheduler::reserveFor(const WaitingTask &Task, Time Now) {
+void Scheduler::reserveWorkerFor(const WaitingTask &Task, Time Now) {
   if (!mayHostMoreSuspects())
     return;
   WorkerSession *Least = nullptr;
-  for (auto &[Worker, With] : Sessions_) {
-    if (With.ReservedUntil > Now)
+  for (auto &[Worker, Session] : Sessions_) {
+    if (Session.ReservedUntil > Now)
       return;
-    if (!takesWorkOf(With, Task.Service) || hostsSuspect(With) ||
-        !isLargeEnough(With, Task.Needs))
+    if (!takesWorkOf(Session, Task.Service) || hostsSuspect(Session) ||
+        !isLargeEnough(Session, Task.Needs))
       continue;
-    if (!Least || With.Used.CpuMillis < Least->Used.CpuMillis)
-      Least = &With;
+    if (!Least || Session.Used.CpuMillis < Least->Used.CpuMillis)
+      Least = &Session;
   }
   if (Least)
-    Least->ReservedUntil = Now + ReservedFor;
+    Least->ReservedUntil = Now + ReservationTime;
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/workerwatch.cpp
+++ b/src/jobs/internal/workerwatch.cpp
@@ -38,14 +38,14 @@
   return Found == Sessions_.end() ? nullptr : &Found->second;
 }
 
-void Scheduler::takeWorkers(const WorkerDirectory &Directory) {
-  Time Now = Needs_.Clock.now();
+void Scheduler::applyWorkers(const WorkerDirectory &Directory) {
+  Time Now = Deps_.Clock.now();
   for (const auto &[Id, Known] : Directory.Workers) {
     auto [Place, Fresh] = Sessions_.try_emplace(Id);
     WorkerSession &With = Place->second;
     bool Drains = Known.Info.Draining && !With.Info.Draining;
     With.Info = Known.Info;
-    With.Evacuated = Needs_.Evacuated.count(Known.Info.DataCentre) != 0;
+    With.Evacuated = Deps_.Evacuated.count(Known.Info.DataCentre) != 0;
     if (Drains)
       logEvent(LogLevel::Info, Module, "worker_drains", {{"worker", Id}});
     if (!Fresh)
@@ -70,10 +70,10 @@
 }
 
 void Scheduler::hold(WorkerSession &With) {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   bool Overdue = isHoldOverdue(With, Lease_, Now);
   bool Due = !With.HoldUnderWay || Overdue || isHoldTooLong(With, Lease_, Now);
-  if (!Due || !Needs_.MayOrder())
+  if (!Due || !Deps_.OwnsPool())
     return;
   HoldOrder Order;
   Order.Token = Token_;
@@ -90,7 +90,7 @@
   With.HoldFor = Order.Wait;
   With.HoldRepeated = Overdue;
   ++With.HoldSerial;
-  Needs_.Workers.hold(
+  Deps_.Workers.hold(
       {With.Info.Worker, With.Info.At}, Order,
       [this, Alive = Alive_, Worker = With.Info.Worker,
        When = Sent{Now, Token_, With.HoldSerial, Order.LeaseUntil.has_value()}](
@@ -101,27 +101,27 @@
 }
 
 void Scheduler::look(WorkerSession &With, std::function<void()> Then) {
-  if (!Needs_.MayOrder())
+  if (!Deps_.OwnsPool())
     return;
   HoldOrder Order;
   Order.Token = Token_;
   Order.LastSeenEnd = With.RecordedEnd;
-  Needs_.Workers.hold({With.Info.Worker, With.Info.At}, Order,
-                      [this, Alive = Alive_, Worker = With.Info.Worker,
-                       Sent = Needs_.Clock.now(), Then = std::move(Then)](
-                          const Outcome<HoldAnswer> &Answer) {
-                        WorkerSession *On = *Alive ? session(Worker) : nullptr;
-                        if (!On || !Answer)
-                          return;
-                        takeAnswer(*On, Sent, *Answer);
-                        if (Then)
-                          Then();
-                      });
+  Deps_.Workers.hold({With.Info.Worker, With.Info.At}, Order,
+                     [this, Alive = Alive_, Worker = With.Info.Worker,
+                      Sent = Deps_.Clock.now(), Then = std::move(Then)](
+                         const Outcome<HoldAnswer> &Answer) {
+                       WorkerSession *On = *Alive ? session(Worker) : nullptr;
+                       if (!On || !Answer)
+                         return;
+                       takeAnswer(*On, Sent, *Answer);
+                       if (Then)
+                         Then();
+                     });
 }
 
 void Scheduler::takeAnswer(WorkerSession &On, Time Sent,
                            const HoldAnswer &Answer) {
-  HoldFindings Findings = takeHold(On, Answer, Needs_.Clock.now());
+  HoldFindings Findings = takeHold(On, Answer, Deps_.Clock.now());
   takeFindings(On, Findings, !On.Known || On.Silent);
   if (!Findings.Current)
     return;
@@ -156,10 +156,10 @@
     return dropWorker(Worker, "another incarnation answered",
                       scheduling::WorkerLoss::Crashed);
   if (!Answer && Answer.error().Code == ErrorCode::Conflict)
-    return Needs_.Fenced(Order.Token);
+    return Deps_.OnFenced(Order.Token);
   if (!Answer && Answer.error().Code == ErrorCode::Timeout &&
       With->LookedAt > Order.At)
-    scheduling::noteAnswerLost(Timing_, Needs_.Clock.now());
+    scheduling::noteAnswerLost(Timing_, Deps_.Clock.now());
   // One that was repeated says nothing of the worker by its silence.
   if (!Answer && !Latest)
     return;
@@ -173,7 +173,7 @@
     With->Failure = lossOf(Answer.error());
     With->RetryPause =
         std::clamp(With->RetryPause * 2, FirstRetryPause, LongestRetryPause);
-    With->RetryAt = Needs_.Clock.now() + With->RetryPause;
+    With->RetryAt = Deps_.Clock.now() + With->RetryPause;
     return;
   }
   takeAnswer(*With, Order.At, *Answer);
@@ -190,7 +190,7 @@
 }
 
 void Scheduler::holdLater(const WorkerId &Worker) {
-  Needs_.Timers.after(RecordingPause, [this, Alive = Alive_, Worker] {
+  Deps_.Timers.after(RecordingPause, [this, Alive = Alive_, Worker] {
     WorkerSession *With = *Alive ? session(Worker) : nullptr;
     if (With)
       hold(*With);
@@ -230,8 +230,8 @@
   // A stop may have been lost on its way.
   for (const auto &[Task, Each] : On.Runs)
     if (Each.Stopping)
-      Needs_.Workers.stop({On.Info.Worker, On.Info.At},
-                          {Task, Each.Number, Token_});
+      Deps_.Workers.stop({On.Info.Worker, On.Info.At},
+                         {Task, Each.Number, Token_});
   if (!Findings.Ended.empty())
     recordEnds(On, Findings);
 }
@@ -244,7 +244,7 @@
     return adopt(On, Task);
   // The entry that waits for an unknown job hands it in again.
   bool Kept = Fresh || Orphans_.count(Task.Task) != 0;
-  if (!Of && Kept && Needs_.Clock.now() < OrphansUntil_) {
+  if (!Of && Kept && Deps_.Clock.now() < OrphansUntil_) {
     Orphans_[Task.Task] = {On.Info.Worker, Task.Run, false};
     return;
   }
@@ -254,8 +254,8 @@
             {"index", Task.Task.Index},
             {"run", Task.Run.value()},
             {"worker", On.Info.Worker}});
-  Needs_.Workers.stop({On.Info.Worker, On.Info.At},
-                      {Task.Task, Task.Run, Token_});
+  Deps_.Workers.stop({On.Info.Worker, On.Info.At},
+                     {Task.Task, Task.Run, Token_});
 }
 
 void Scheduler::adopt(WorkerSession &On, const RunningTask &Task) {
@@ -270,7 +270,7 @@
     Queue_.erase(Rank->second);
     Ranks_.erase(Rank);
   }
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   const StepSpec &Step = Of.Spec.Steps[Task.Task.Step];
   addRun(On, Task.Task,
          Run{Task.Run, Step.Needs, Now, true, false, On.Clock,
@@ -289,7 +289,7 @@
       if (Task.Job != Id)
         continue;
       Each.Stopping = true;
-      Needs_.Workers.stop({Worker, With.Info.At}, {Task, Each.Number, Token_});
+      Deps_.Workers.stop({Worker, With.Info.At}, {Task, Each.Number, Token_});
     }
 }
 
--- a/src/jobs/tests/schedulerfake.h
+++ b/src/jobs/tests/schedulerfake.h
@@ -24,19 +24,19 @@
 
   std::unique_ptr<Scheduler> owner(std::uint64_t Token, bool KnowsAllWorkers,
                                    const std::vector<WorkerInfo> &Known) {
-    SchedulerNeeds Needs{poolOfAll(),
-                         [] { return true; },
-                         [](FencingToken /*Token*/) {
-                           // A test sees the token where it matters.
-                         },
-                         [KnowsAllWorkers] { return KnowsAllWorkers; },
-                         &Log,
-                         Log.Jobs.store(),
-                         Evacuated,
-                         Calls,
-                         Clock,
-                         Timers,
-                         Measured};
+    SchedulerDependencies Needs{poolOfAll(),
+                                [] { return true; },
+                                [](FencingToken /*Token*/) {
+                                  // A test sees the token where it matters.
+                                },
+                                [KnowsAllWorkers] { return KnowsAllWorkers; },
+                                &Log,
+                                Log.Jobs.store(),
+                                Evacuated,
+                                Calls,
+                                Clock,
+                                Timers,
+                                Measured};
     auto Result = std::make_unique<Scheduler>(
         std::move(Needs), FencingToken(Token), LeaseSettings());
     announceTo(*Result, Known);
@@ -46,7 +46,7 @@
   void announceTo(Scheduler &Owner, const std::vector<WorkerInfo> &Known) {
     for (const WorkerInfo &Each : Known)
       announce(Directory, Each, Clock.now());
-    Owner.takeWorkers(Directory);
+    Owner.applyWorkers(Directory);
   }
 
   void run(Duration For) {
--- a/src/jobs/tests/startorderstest.cpp
+++ b/src/jobs/tests/startorderstest.cpp
@@ -20,8 +20,8 @@
   /// Hands in the job, whose first order gets lost.
   std::shared_ptr<std::optional<JobState>> loseFirstOrder(Scheduler &Owner) {
     auto Ended = std::make_shared<std::optional<JobState>>();
-    Arrival New;
-    New.Patience = 5s;
+    TransientRequest New;
+    New.TimeLeft = 5s;
     Faults.LatePercent = 100;
     Owner.run(job(true), New, [Ended](const Outcome<TransientEnd> &Was) {
       ASSERT_TRUE(Was);
@@ -59,9 +59,9 @@
     New.Id = JobId("job" + std::to_string(Seed));
     New.Spec.Steps[0].Count = 3;
     New.Tasks = {{TaskRecord(), TaskRecord(), TaskRecord()}};
-    Arrival How;
-    How.Patience = 5s;
-    Owner->run(New, How, [](const Outcome<TransientEnd> &) {});
+    TransientRequest Request;
+    Request.TimeLeft = 5s;
+    Owner->run(New, Request, [](const Outcome<TransientEnd> &) {});
     run(3s);
     ASSERT_TRUE(Workers.Doubled.empty()) << "seed " << Seed;
   }
--- a/src/jobs/tests/takeovertest.cpp
+++ b/src/jobs/tests/takeovertest.cpp
@@ -24,7 +24,8 @@
     auto Earlier = owner(1, true, {First});
     run(50ms);
     if (Transient)
-      Earlier->run(job(true), Arrival(), [](const Outcome<TransientEnd> &) {});
+      Earlier->run(job(true), TransientRequest(),
+                   [](const Outcome<TransientEnd> &) {});
     else
       Earlier->accept(job(false),
                       [](const Outcome<Done> &Was) { ASSERT_TRUE(Was); });
@@ -67,9 +68,9 @@
   startAndLoseOwner(true);
   auto Next = owner(2, false, {Second});
   run(10ms);
-  Arrival Again;
+  TransientRequest Again;
   Again.MaybeTaken = true;
-  Again.Patience = 5s;
+  Again.TimeLeft = 5s;
   Next->run(job(true), Again, [](const Outcome<TransientEnd> &) {});
   run(300ms);
   EXPECT_EQ(Workers.Starts, 1U);
@@ -84,13 +85,13 @@
   run(50ms);
   ASSERT_EQ(Workers.running(), 1U);
   removeWorker(Directory, First.Worker);
-  Next->takeWorkers(Directory);
+  Next->applyWorkers(Directory);
   std::uint64_t Before = Workers.StartsOn[First.Worker];
   for (int I = 0; I < 4; ++I) {
     Job New = job(true);
     New.Id = JobId("later" + std::to_string(I));
-    Arrival How;
-    How.Patience = 5s;
+    TransientRequest How;
+    How.TimeLeft = 5s;
     Next->run(New, How, [](const Outcome<TransientEnd> &) {});
   }
   run(500ms);
