--- a/src/jobs/internal/batcher.cpp
+++ b/src/jobs/internal/batcher.cpp
@@ -1,6 +1,7 @@
-//===- batcher.cpp - Changes on their way into the log --------------------===//
+//===- batcher.cpp - Batched appends to the log ---------------------------===//
 //
-// One flush a turn of the loop, and a bounded number of batches under way.
+// At most one flush per iteration of the event loop, and a bounded number of
+// batches in progress.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,9 +15,9 @@
 
 namespace {
 
-/// Batches under way at a time: one on the leader's disk and one on its way
-/// through the followers'. More would wait for the same disks.
-constexpr std::size_t MaxUnderWay = 2;
+/// Batches in progress: one being written to the leader's disk and one being
+/// replicated to the followers. More would wait for the same disks.
+constexpr std::size_t MaxBatchesInProgress = 2;
 
 template <typename T> void moveInto(std::vector<T> &Into, std::vector<T> From) {
   Into.insert(Into.end(), std::make_move_iterator(From.begin()),
@@ -42,21 +43,21 @@
   moveInto(Next_.Forgotten, std::move(Changes.Forgotten));
   moveInto(Next_.Evacuations, std::move(Changes.Evacuations));
   Waiting_.push_back(std::move(Committed));
-  if (Due_)
+  if (FlushDue_)
     return;
-  Due_ = true;
+  FlushDue_ = true;
   Timers_.after(Duration::zero(), [this, Alive = Alive_] {
     if (!*Alive)
       return;
-    Due_ = false;
+    FlushDue_ = false;
     flush();
   });
 }
 
 void Batcher::flush() {
-  if (Waiting_.empty() || UnderWay_ >= MaxUnderWay)
+  if (Waiting_.empty() || InProgress_ >= MaxBatchesInProgress)
     return;
-  ++UnderWay_;
+  ++InProgress_;
   std::string Batch = wire::writeChanges(std::exchange(Next_, JobChanges()));
   Log_.append(std::move(Batch),
               [this, Alive = Alive_, Callbacks = std::exchange(Waiting_, {})](
@@ -65,7 +66,7 @@
                   Run(Result);
                 if (!*Alive)
                   return;
-                --UnderWay_;
+                --InProgress_;
                 flush();
               });
 }
--- a/src/jobs/internal/batcher.h
+++ b/src/jobs/internal/batcher.h
@@ -1,7 +1,7 @@
-//===- batcher.h - Changes on their way into the log ------------*- C++ -*-===//
+//===- batcher.h - Batched appends to the log -------------------*- C++ -*-===//
 //
-// Collects the changes of a leader and puts them into the log in batches: what
-// comes while the log is busy goes into the next batch, so the number of syncs
+// Appends the changes of a leader to the log in batches. Changes that arrive
+// while the log is busy go into the next batch, so the number of disk syncs
 // does not grow with the load.
 //
 //===----------------------------------------------------------------------===//
@@ -20,8 +20,9 @@
 /// The batches of one leader's term.
 class Batcher {
 public:
-  /// Called once with the outcome of the batch that holds a change, perhaps
-  /// after the batcher has gone. Unavailable: the change was never appended.
+  /// Called once with the outcome of the batch that contains the change,
+  /// possibly after the batcher is destroyed. Unavailable: the change was never
+  /// appended.
   using Callback = std::function<void(const Outcome<Done> &)>;
 
   /// Both outlive the batcher.
@@ -32,8 +33,8 @@
 
   /// Adds \p Changes to the next batch.
   void add(JobChanges Changes, Callback Committed);
-  /// Whether nothing is under way.
-  bool idle() const { return UnderWay_ == 0 && Waiting_.empty(); }
+  /// Whether no change is waiting or being appended.
+  bool idle() const { return InProgress_ == 0 && Waiting_.empty(); }
 
 private:
   void flush();
@@ -42,10 +43,11 @@
   ITimers &Timers_;
   JobChanges Next_;
   std::vector<Callback> Waiting_;
-  std::size_t UnderWay_ = 0;
-  /// A flush at the end of this turn of the loop is due.
-  bool Due_ = false;
-  /// Outlived by callbacks that must not reach a batcher that is gone.
+  std::size_t InProgress_ = 0;
+  /// A flush is scheduled for the end of this iteration of the event loop.
+  bool FlushDue_ = false;
+  /// Shared with callbacks, which check it before they access the batcher;
+  /// false once it is destroyed.
   std::shared_ptr<bool> Alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/jobs/internal/endrecords.cpp
+++ b/src/jobs/internal/endrecords.cpp
@@ -1,7 +1,7 @@
-//===- endrecords.cpp - Ends of runs, recorded ----------------------------===//
+//===- endrecords.cpp - Recording the ends of runs ------------------------===//
 //
-// What a run's end tells of its task and its worker. The end of a durable task
-// is in the log before the worker may forget it.
+// Updates what is known of tasks and workers when runs end. A worker may forget
+// the end of a durable task only once it is in the log.
 //
 //===----------------------------------------------------------------------===//
 
@@ -47,7 +47,7 @@
     if (Session.FailedInRow == DistrustedAfter && !Succeeded)
       logEvent(LogLevel::Warning, Module, "worker_distrusted",
                {{"worker", Session.Info.Worker},
-                {"failed_in_row", Session.FailedInRow},
+                {"consecutive_failures", Session.FailedInRow},
                 {"runs", Session.Runs.size()}});
     JobChanges &Into = isTransient(End.Task.Job) ? TransientEnds : Durable;
     Into.Ended.push_back({End.Task, End.Run, End.How == EndKind::Done});
@@ -70,8 +70,8 @@
   Batches_->add(std::move(Changes),
                 [this, Alive = Alive_, Worker, LastEnd,
                  Ends = std::move(Copy)](const Outcome<Done> &Result) {
-                  // Without an answer from the log this leader is none any
-                  // more; the next one finds the ends at the worker.
+                  // A failed append means that the leadership was lost; the
+                  // next leader gets the ends from the worker.
                   if (!*Alive || !Result)
                     return;
                   for (const TaskEnd &End : Ends.Ended)
--- a/src/jobs/internal/evacuationmoves.cpp
+++ b/src/jobs/internal/evacuationmoves.cpp
@@ -1,9 +1,9 @@
 //===- evacuationmoves.cpp - Work that leaves evacuated data centres ------===//
 //
 // A pool whose workers are all in an evacuated data centre sends its waiting
-// jobs back to their entries at once, which try other pools. A job that has
-// begun is stopped first: its entry hears of it when its last run has ended, so
-// that no task of it runs twice at a time.
+// jobs back to their entries at once, which try other pools. If a job has
+// begun, its runs are stopped first, and the entry is answered when the last
+// one has ended, so that no task runs twice at a time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -45,7 +45,7 @@
     logEvent(LogLevel::Info, Module, "evacuation_obeyed",
              {{"data_centre", Each},
               {"token", Token_.value()},
-              {"outcome", Ended ? "no task runs there" : "taken back"}});
+              {"outcome", Ended ? "no task runs there" : "withdrawn"}});
     return true;
   });
 }
--- a/src/jobs/internal/intake.cpp
+++ b/src/jobs/internal/intake.cpp
@@ -1,8 +1,8 @@
-//===- intake.cpp - Which transient jobs are served -----------------------===//
+//===- intake.cpp - Admission of transient jobs ---------------------------===//
 //
-// Brings what the scheduler knows of its workers and of what waits into the
-// terms of the scheduling module, and carries out what that decides: a job is
-// taken or refused when it comes, and given up once it cannot be of use.
+// Describes the workers and the queue in the terms of the scheduling module and
+// carries out its decisions: a job is accepted or refused on arrival, and given
+// up once its result cannot be useful any more.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,13 +17,14 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// How much of a pool tasks fill when some wait: what is left are gaps smaller
-/// than they are. Tasks of 0.42 of a worker fill five sixths of it.
+/// The share of a pool's capacity that is in use while tasks wait; the rest is
+/// lost to gaps smaller than a task. Tasks of 0.42 of a worker fill five
+/// sixths.
 constexpr double UsableShare = 0.85;
 
 std::size_t hashOf(const JobId &Id) { return std::hash<JobId>()(Id); }
 
-/// How many tasks with \p Needs fit beside what runs there.
+/// How many more tasks with \p Needs fit on the worker beside its runs.
 std::size_t freePlaces(const WorkerSession &Session, const Resources &Needs) {
   constexpr std::size_t Unbounded = 64;
   auto Fit = [](std::uint32_t All, std::uint32_t Used, std::uint32_t Each) {
@@ -69,7 +70,7 @@
     bool Slow = Factor >= scheduling::SlowFactor;
     if (Session.RestUntil <= Now && isTrusted(Session) && !Slow)
       Result.Free += freePlaces(Session, Needs);
-    // What a slow worker runs makes room for nothing in sight.
+    // A slow worker frees no capacity within the forecast.
     if (Slow)
       continue;
     for (const auto &[Task, Each] : Session.Runs)
@@ -161,18 +162,19 @@
   scheduling::Admission Decided = scheduling::admit(
       Arriving.Useful, Arriving.Chain, Forecast, hashOf(New.Id), Now);
   if (Decided.What != scheduling::Verdict::InTime)
-    logEvent(LogLevel::Info, Module, "job_not_in_time",
-             {{"job", New.Id},
-              {"verdict", scheduling::verdictName(Decided.What)},
-              {"priority", New.Priority},
-              {"chain_us", Arriving.Chain.count()},
-              {"age_us", Arriving.Age.count()},
-              {"laxity_us",
-               (Arriving.Useful.InTimeUntil - Now - Arriving.Chain).count()},
-              {"wait_us", Forecast.InTurn ? Forecast.InTurn->count() : -1},
-              {"wait_late_us", Forecast.AsLate ? Forecast.AsLate->count() : -1},
-              {"waiting_tasks", Queue_.size()},
-              {"retry_us", Decided.RetryAfter.count()}});
+    logEvent(
+        LogLevel::Info, Module, "job_not_in_time",
+        {{"job", New.Id},
+         {"verdict", scheduling::verdictName(Decided.What)},
+         {"priority", New.Priority},
+         {"chain_us", Arriving.Chain.count()},
+         {"age_us", Arriving.Age.count()},
+         {"laxity_us",
+          (Arriving.Useful.InTimeUntil - Now - Arriving.Chain).count()},
+         {"wait_us", Forecast.InTurn ? Forecast.InTurn->count() : -1},
+         {"wait_as_late_us", Forecast.AsLate ? Forecast.AsLate->count() : -1},
+         {"waiting_tasks", Queue_.size()},
+         {"retry_us", Decided.RetryAfter.count()}});
   return Decided;
 }
 
@@ -203,8 +205,8 @@
   Time Now = Deps_.Clock.now();
   bool Slow = paceFactorOf(Session, Now) >= scheduling::SlowFactor;
   scheduling::learnPace(Session.Pace, Times.Expected, Times.Took, Now);
-  // A slow worker says little about the queue's tasks; but where all are slow,
-  // the queue's tasks are long.
+  // A run on a slow worker says little about the queue's tasks, so its run time
+  // is capped rather than ignored: if all workers are slow, the tasks are long.
   Duration RunTime =
       Slow ? std::min(Times.Took, Times.Expected * 2) : Times.Took;
   scheduling::learnRun(RunTimes_[JobRecord->Queue],
@@ -242,14 +244,14 @@
   if (!JobRecord || Found == ActiveTransients_.end())
     return;
   ActiveTransient &Job = Found->second;
-  // It has waited in vain for as long as it could.
+  // Learns from a wait that ended without a start.
   if (Job.Forecast)
     scheduling::learnForecast(Skills_[scheduling::classOf(JobRecord->Priority)],
                               *std::exchange(Job.Forecast, std::nullopt),
                               Now - Job.Since, Now);
   scheduling::Waits Forecast =
       correctedWaits(JobRecord->Priority, forecastWaits(*JobRecord, Now), Now);
-  // Its turn is over.
+  // It can only be served as late now.
   Forecast.InTurn.reset();
   scheduling::Admission Decided =
       scheduling::admit(Job.Useful, Job.Chain, Forecast, hashOf(Id), Now);
--- a/src/jobs/internal/placement.cpp
+++ b/src/jobs/internal/placement.cpp
@@ -1,7 +1,7 @@
-//===- placement.cpp - Which task starts where ----------------------------===//
+//===- placement.cpp - Placement of tasks on workers ----------------------===//
 //
-// Takes waiting tasks in their order and gives each the worker that it fills
-// best, so that large tasks find room later.
+// Assigns waiting tasks in order, each to the worker that it leaves with the
+// least free capacity (best fit), so that room remains for large tasks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// Waiting tasks that are looked at in one pass after the first that found no
-/// room: smaller ones may still fit.
+/// Waiting tasks that may be skipped in one pass because they fit no worker:
+/// smaller ones behind them may still fit.
 constexpr std::size_t MaxSkipped = 64;
 
 std::uint32_t runsOfStep(const WorkerSession &Session, const TaskId &Like) {
@@ -28,7 +28,7 @@
   return Count;
 }
 
-/// Away from the rack that holds its data a task takes longer.
+/// A task takes longer away from the rack that holds its data.
 bool isNearData(const WorkerSession &Session, const StepSpec &Step) {
   return Step.PreferredRack.empty() || Session.Info.Rack == Step.PreferredRack;
 }
@@ -84,7 +84,7 @@
   std::size_t Skipped = 0;
   for (auto It = Queue_.begin(); It != Queue_.end() && Skipped < MaxSkipped;) {
     if (!taskOf(It->second.Id)) {
-      // Its job has just ended; committed() has yet to hear of it.
+      // Its job has just ended, and onCommitted() has not been called yet.
       Ranks_.erase(It->second.Id);
       It = Queue_.erase(It);
       continue;
@@ -119,8 +119,8 @@
         !hasRoom(Each, Task.Needs, Now) || !suits(Each, Step, Task.Id) ||
         !isTrusted(Each) || !mayRunThere(Each, Suspected, Now))
       continue;
-    // Where a run of it has failed, takes long or may not arrive it goes only
-    // if nobody else has room.
+    // Workers on which it has failed before, slow workers and those that have
+    // not answered an earlier order are used only if no other one has room.
     bool Failed = FailedAt != FailedAt_.end() && FailedAt->second == Id;
     double Factor = paceFactorOf(Each, Now);
     bool Slow = Factor >= scheduling::SlowFactor;
--- a/src/jobs/internal/scheduler.cpp
+++ b/src/jobs/internal/scheduler.cpp
@@ -1,6 +1,6 @@
 //===- scheduler.cpp - Scheduling under one fencing token -----------------===//
 //
-// Jobs: their way into the log, their tasks that may start, and their end.
+// The life cycle of jobs: acceptance, queueing of ready tasks, and the end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,14 +15,15 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// How often leases are checked and what is old is dropped.
+/// Interval between checks of leases and of expired records.
 constexpr Duration TickInterval = std::chrono::milliseconds(50);
-/// How long a job that has ended can be asked for.
+/// How long the state of an ended durable job can be queried.
 constexpr Duration EndedJobRetention = std::chrono::seconds(180);
-/// How long what another owner left, which has just met this one, is kept: the
-/// time in which it lets go and its entries hand their jobs in here.
+/// How long the runs of another owner are kept once it hands its workers over:
+/// the time in which it releases its ownership and its entries submit their
+/// jobs here.
 constexpr Duration MergedOrphanRetention = std::chrono::milliseconds(500);
-/// Jobs forgotten in one batch.
+
 constexpr std::size_t MaxForgottenPerBatch = 200;
 
 } // namespace
@@ -73,7 +74,7 @@
   Token_ = Token;
   if (OtherReleasesOwnership)
     OrphansUntil_ = Now + MergedOrphanRetention;
-  // Another owner may have taken these jobs over and run tasks of them.
+  // Another owner may have accepted these jobs too and started tasks of them.
   for (const auto &[Id, Job] : ActiveTransients_) {
     Unsettled_[Id] = Now;
     forgetWaiting(Id);
@@ -195,7 +196,8 @@
   const StepSpec &Step = JobRecord.Spec.Steps[Id.Step];
   TaskRank Rank{JobRecord.Priority, isLate(Id.Job), JobOrders_[Id.Job], Id.Step,
                 Id.Index};
-  // Jobs of earlier terms have one order; the id keeps their ranks apart.
+  // Jobs accepted in earlier terms all have sequence number 0, so their tasks
+  // may have equal ranks; the index is raised until the rank is unique.
   while (Queue_.count(Rank) != 0)
     ++Rank.Index;
   Queue_.emplace(Rank,
@@ -287,7 +289,7 @@
   }
   if (!Changes.empty() && Batches_)
     Batches_->add(std::move(Changes), [](const Outcome<Done> & /*Was*/) {
-      // A later leader forgets what this one did not manage to.
+      // On failure a later leader removes these jobs.
     });
 }
 
--- a/src/jobs/internal/scheduler.h
+++ b/src/jobs/internal/scheduler.h
@@ -1,13 +1,14 @@
 //===- scheduler.h - Scheduling under one fencing token ---------*- C++ -*-===//
 //
-// Decides what starts where while this process owns the pool of workers. It
-// lives as long as its fencing token: a new owner builds a new one, which
-// learns from the workers what runs.
+// Decides which task starts on which worker while this process owns the pool.
+// A scheduler is bound to the ownership of the pool: a new owner creates a new
+// scheduler, which learns from the workers what is running.
 //
-// Taking over. Tasks that an earlier owner may have started are left alone
-// until every worker has either said what it runs or has certainly killed what
-// that owner started, its last lease being over. What runs of jobs that the new
-// owner does not know is kept for a while: their entries hand them in again.
+// Taking over. Tasks that an earlier owner may have started are not started
+// again until every worker has either reported its runs or has certainly killed
+// that owner's runs because their last lease has expired. Runs of jobs that the
+// new owner does not know are kept for a while, since the entries submit these
+// jobs again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,17 +35,18 @@
 
 namespace geraniumbay::jobs {
 
-/// What the scheduler works with; all of it outlives the scheduler.
+/// The collaborators of a scheduler; all of them outlive it.
 struct SchedulerDependencies {
   /// Names the pool in log lines.
   PoolName Pool;
-  /// Whether this process owns the pool at this moment: asked right before
-  /// orders are given.
+  /// Whether this process owns the pool now; checked right before each order.
   std::function<bool()> OwnsPool;
-  /// Called when a worker refuses an order with this token: it obeys another.
+  /// Called when a worker refuses an order with this token because it has
+  /// accepted a higher one.
   std::function<void(FencingToken)> OnFenced;
-  /// Whether the workers taken so far include each one that an earlier owner
-  /// may have used. If not, only time tells that its leases are over.
+  /// Whether the known workers include all that an earlier owner may have used.
+  /// If not, the earlier leases count as expired only after their longest
+  /// duration.
   std::function<bool()> KnowsAllWorkers;
   /// The log of durable jobs; null where only transient jobs are scheduled.
   control::IReplicatedLog *Log;
@@ -56,41 +58,43 @@
   const IClock &Clock;
   ITimers &Timers;
   Metrics &Measured;
-  /// Called when a transient job's task may have crashed its worker, before it
-  /// is started again.
+  /// Called when a transient job's task may have crashed its worker, before the
+  /// task is started again.
   std::function<void()> SuspectsFound = nullptr;
 };
 
-/// Somebody who waits for a transient job: a request of an entry.
+/// Identifies a request of an entry that waits for a transient job.
 struct WaiterId {
   Endpoint Origin;
-  /// Tells the entry's processes apart; the callers of an earlier one are gone.
+  /// Distinguishes successive processes of the entry; requests of an earlier
+  /// process have lost their callers.
   std::uint64_t Incarnation = 0;
-  /// Counts the entry's requests.
+  /// Sequence number of the request at its entry.
   std::uint64_t Serial = 0;
 
   bool operator==(const WaiterId &) const = default;
 };
 
-/// How a transient job comes to its scheduler.
+/// The circumstances in which a transient job is submitted.
 struct TransientRequest {
   WaiterId From;
   /// How long ago its caller sent it.
   Duration Age{0};
-  /// How long its caller still waits.
+  /// How long the caller will keep waiting.
   Duration TimeLeft{0};
-  /// Another owner may have started tasks of it: none starts before all workers
-  /// have been looked at since now. A job that its caller sends again comes too
-  /// late for that: by then the leases of earlier runs are over.
+  /// Another owner may have started tasks of the job: none is started before
+  /// all workers have reported their runs after the submission. This need
+  /// not be assumed of a job that its caller sends again: by then the leases of
+  /// earlier runs have expired.
   bool MaybeTaken = false;
 };
 
-/// The scheduler of one token.
+/// Schedules jobs on the workers of one pool during one ownership.
 class Scheduler {
 public:
   using Callback = Batcher::Callback;
-  /// Called when a transient job has ended. Unavailable: this leader has lost
-  /// its leadership, and what becomes of the job is open.
+  /// Called when a transient job has ended. Unavailable: this process has lost
+  /// the ownership, and the outcome of the job is unknown.
   using EndCallback = std::function<void(const Outcome<TransientEnd> &)>;
 
   Scheduler(SchedulerDependencies Deps, FencingToken Token,
@@ -100,66 +104,68 @@
   Scheduler &operator=(const Scheduler &) = delete;
 
   FencingToken token() const { return Token_; }
-  /// Goes on with a higher token. With \p OtherLetsGo the workers of another
-  /// owner, which lets go, come to this one, and what runs there is kept for a
-  /// while.
+  /// Continues with a higher token. With \p OtherReleasesOwnership another
+  /// owner hands its workers over to this one, and its runs there are kept for
+  /// a while.
   void raiseToken(FencingToken Token, bool OtherReleasesOwnership);
-  /// Whether all that runs on its workers is known here: no run is left that an
-  /// earlier owner started and that belongs to no job of this one.
+  /// Whether all runs on the workers are accounted for: no run of an earlier
+  /// owner is left that belongs to none of this scheduler's jobs.
   bool isSettled() const;
-  /// Whether it knows what runs on its workers, or that it is over.
+  /// Whether earlier owners' runs are known or have certainly ended.
   bool hasTakenOver() const { return TakenOver_; }
-  /// Notes that all processes which may have owned the workers before this one
-  /// were gone by \p At.
+  /// Records that all processes which may have owned the workers before this
+  /// one had ended by \p At.
   void noteEarlierOwnersEnded(Time At);
-  /// Whether the transient job \p Id is here, or its end, or a refusal that
-  /// still stands.
+  /// Whether the transient job \p Id is active here, or its end or a refusal is
+  /// still remembered.
   bool hasAnswerFor(const JobId &Id) const;
-  /// Whether the transient job \p Id waits or runs here, has run, or may still
-  /// run until it has been stopped; not if it was refused.
+  /// Whether the transient job \p Id waits, runs or has run here, or a run of
+  /// it has not been stopped yet; false if it was refused.
   bool has(const JobId &Id) const;
-  /// All of those.
+  /// All jobs for which has() holds.
   std::vector<JobId> jobs() const;
-  /// How many workers answer.
+  /// The number of workers that answer.
   std::size_t workers() const;
-  /// The room of the pool, and how long waiting tasks would fill it.
+  /// The capacity of the pool, and for how long its waiting tasks would fill
+  /// it.
   PoolLoad load() const;
 
-  /// Accepts \p New durably and calls back. Unavailable: it certainly was not
-  /// taken; Timeout: unknown.
+  /// Accepts \p New durably, then calls back. Unavailable: the job certainly
+  /// was not accepted; Timeout: unknown.
   void accept(Job New, Callback Done);
   /// Runs the transient job \p New, or joins it if it runs or has just ended.
   /// It is refused at once, or given up later, if it cannot end while its
-  /// answer is of use.
+  /// answer is still useful to the caller.
   void run(Job New, const TransientRequest &Request, EndCallback Ended);
-  /// Drops one who waits.
+  /// Removes one waiting request; a job without any is cancelled.
   void dropWaiter(const JobId &Id, const WaiterId &From);
-  /// Drops what \p Origin waits for; a job that nobody waits for is stopped.
+  /// Removes the waiting requests of \p Origin; jobs left without any are
+  /// cancelled.
   void dropOrigin(const Endpoint &Origin);
-  /// Drops what earlier processes of \p Origin waited for. Its callers come
-  /// back elsewhere soon, and perhaps to another pool.
+  /// Removes the waiting requests of earlier processes of \p Origin. Their
+  /// callers soon retry through another entry, which may use another pool.
   void dropEarlierIncarnations(const Endpoint &Origin,
                                std::uint64_t Incarnation);
   /// Tasks of transient jobs that may crash their workers.
   const SuspectsByJob &suspects() const { return Suspects_; }
-  /// Takes what other owners have seen of them.
+  /// Merges the findings of other owners.
   void mergeSuspects(const SuspectsByJob &Seen) { merge(Suspects_, Seen); }
-  /// The entries that wait for jobs.
+  /// The entries that have waiting requests.
   std::set<Endpoint> origins() const;
   /// Cancels the job durably and calls back; its tasks are stopped.
   void cancel(const JobId &Id, Callback Done);
   /// Whether a task of the job has been started, as far as this leader knows.
   bool hasBegun(const JobId &Id) const { return Begun_.count(Id) != 0; }
-  /// Calls back once what is known of the job's ends is in the log: at once, or
-  /// after the commit under way if its last tasks have ended. One commit long,
-  /// so that who asks right after the end is not told that the job still runs.
+  /// Calls \p Then at once, or, if the job's last tasks have ended, after the
+  /// commit in progress that records it. So a client that asks right after the
+  /// end is not told that the job still runs; it waits for one commit at most.
   void whenRecorded(const JobId &Id, std::function<void()> Then);
   /// How many jobs of \p Queue wait for their first start.
   std::size_t pending(const QueueName &Queue) const;
 
-  /// Takes what is known of the workers now.
+  /// Applies the current list of workers.
   void applyWorkers(const WorkerDirectory &Directory);
-  /// Heeds the data centres that are evacuated from now on, and no more.
+  /// Applies a change of the set of evacuated data centres.
   void evacuationsChanged();
   /// How many tasks run in \p DataCentre.
   std::size_t runningIn(const DataCentreId &DataCentre) const;
@@ -174,7 +180,7 @@
     return Transient_.Jobs.count(Id) != 0;
   }
 
-  // Which transient jobs are served (intake.cpp).
+  // Admission of transient jobs (intake.cpp).
   scheduling::Admission
   decideAdmission(const Job &New, const ActiveTransient &Arriving,
                   const scheduling::Waits &Uncorrected) const;
@@ -184,13 +190,13 @@
   scheduling::Waits forecastWaits(const Job &New, Time Now) const;
   bool isLate(const JobId &Id) const;
   bool knowsWorkersOf(const ServiceId &Service) const;
-  /// Whether some worker would take each of the job's tasks if it were free.
+  /// Whether each of the job's tasks would fit some worker if it were idle.
   bool fitsAnyWorker(const Job &JobRecord) const;
   scheduling::PoolOutlook outlookFor(const Job &New, Time Now) const;
-  /// What tasks can fill of the workers that take work of \p Service, in
-  /// thousandths of a core.
+  /// The part of the capacity of \p Service's available workers that tasks can
+  /// use in practice, in thousandths of a core.
   double usableCores(const ServiceId &Service) const;
-  /// How long the job's longest chain of tasks runs.
+  /// The expected run time of the job's longest chain of dependent steps.
   Duration longestChain(const Job &JobRecord, Time Now) const;
   Duration expectedRun(const Job &JobRecord, const StepSpec &Step,
                        Time Now) const;
@@ -199,13 +205,12 @@
   void noteRunTime(WorkerSession &Session, const TaskId &Task,
                    const TookTime &Times);
   void giveUpLate(Time Now);
-  /// Whether its caller may have come back elsewhere.
+  /// Whether the caller may have retried through another entry by now.
   static bool isStale(const ActiveTransient &Job, Time Now);
-  /// Whether a job that starts now cannot be in time any more, or of use if it
-  /// is a late one.
+  /// Whether the job, if started now, could not end in time any more, or, if it
+  /// is served as late, could not be useful any more.
   static bool isHopeless(const ActiveTransient &Job, Time Now);
-  /// Serves a job that cannot be in time any more as a late one, or gives it
-  /// up.
+  /// Demotes a job that cannot end in time any more to late, or gives it up.
   void reconsider(const JobId &Id, Time Now);
 
   // Transient jobs (transientjobs.cpp).
@@ -213,7 +218,7 @@
                    const char *Reason);
   void answerWaiters(const JobId &Id, const Outcome<TransientEnd> &Ended);
   void forgetTransient(Time Now);
-  /// Keeps a refusal, which stands for a while, and returns it.
+  /// Remembers a refusal for a short time and returns it.
   TransientEnd noteRefusal(const JobId &Id, const TransientEnd &Refusal);
   void cancelTransient(const JobId &Id, const std::string &Reason,
                        Duration RetryAfter);
@@ -224,18 +229,19 @@
   bool mayRun(const JobId &Id) const;
   void stopOrphans(Time Now);
 
-  // Jobs that leave an evacuated data centre (evacuationmoves.cpp).
-  /// Whether the workers that could run \p Step of \p Of are all in evacuated
-  /// data centres.
+  // Jobs whose workers are in evacuated data centres (evacuationmoves.cpp).
+  /// Whether the workers that could run \p Step of \p JobRecord are all in
+  /// evacuated data centres.
   bool isShutOut(const Job &JobRecord, const StepSpec &Step) const;
-  /// Whether that holds for a step that is to come.
+  /// Whether that holds for any step of the job.
   bool isShutOut(const Job &JobRecord) const;
-  /// Sends the transient jobs away that wait here in vain.
+  /// Sends waiting transient jobs that no worker can serve back to their
+  /// entries.
   void moveShutOut();
   void moveAway(const JobId &Id);
-  /// Keeps the refusal of a job that leaves, and returns it.
+  /// Remembers the refusal of a job that is sent back, and returns it.
   TransientEnd noteShutOut(const JobId &Id, bool HasRun);
-  /// Answers for those whose last run has ended.
+  /// Answers the requests of leaving jobs whose last run has ended.
   void finishMoves();
   void reportEmptied();
 
@@ -248,7 +254,7 @@
   void forgetWaiting(const JobId &Id);
   void onJobEnded(const JobId &Id);
   TransientEnd endOf(const JobId &Id, JobState State) const;
-  /// How long a transient job has been here.
+  /// The time since a transient job was accepted here.
   Duration timeSinceArrival(const JobId &Id) const;
   void forgetEndedJobs(Time Now);
   bool mayHaveEarlierRun(const Job &JobRecord) const;
@@ -258,22 +264,22 @@
   void scheduleSoon();
   void schedule();
   WorkerSession *bestWorker(const WaitingTask &Task, Time Now);
-  /// Whether a task is worth its run on a worker that takes \p Factor times as
-  /// long as expected.
+  /// Whether the result of a task is still useful if it takes \p Factor times
+  /// as long as expected.
   bool isUsefulAtPace(const WaitingTask &Task, double Factor, Time Now) const;
   void start(WorkerSession &Session, const WaitingTask &Task);
-  /// What is sent with an order, to be compared when its answer comes.
+  /// What was sent with a request, to be compared when its answer arrives.
   struct Sent {
     Time At;
     FencingToken Token;
-    /// Of a hold: its number, and whether it renews the lease.
+    /// For a hold: its number, and whether it renews the lease.
     std::uint64_t Serial = 0;
     bool Renews = false;
   };
-  /// Asks the worker what became of an order that it has not answered.
+  /// Queries the worker's runs if an order is unanswered after its validity.
   void checkStart(const WorkerId &Worker, const TaskId &Task, RunNumber Number);
-  /// The same for an order that is still valid: one that the worker does not
-  /// show is revoked.
+  /// Queries the worker's runs if an order is unanswered but still valid; an
+  /// order whose run the worker does not report is revoked.
   void resolveStart(const WorkerId &Worker, const TaskId &Task,
                     RunNumber Number);
   void revokeStart(const WorkerId &Worker, const TaskId &Task,
@@ -288,25 +294,27 @@
                   const StartAnswer &Answer);
   RunNumber nextRun(const Job &JobRecord, const TaskId &Task);
 
-  // Workers that are lost, and tasks that crash them (workerlosses.cpp).
+  // Lost workers, and tasks that crash them (workerlosses.cpp).
   void loseRuns(WorkerSession &Session, const char *Reason,
                 scheduling::WorkerLoss Kind);
-  /// Counts the losses against their tasks, which may start again if they are
-  /// not given up.
+  /// Counts the losses against their tasks, which are queued again unless they
+  /// are given up.
   void countLosses(std::vector<TaskLoss> Losses);
   void countLossesDurably(const std::vector<TaskLoss> &Losses);
   void onLossesCounted(const std::vector<TaskLoss> &Losses);
-  /// The owner before may have lost a worker under each task of the job that
-  /// does not run, and have been lost itself before it knew.
+  /// Counts a possible loss against each task of the job that is not running:
+  /// an earlier owner may have lost a worker to it, and may itself have ended
+  /// before it could report that.
   void countPossibleLosses(const JobId &Id);
   void noteSuspects(const std::vector<TaskLoss> &Losses);
   void rememberSuspects(const TaskLoss &Loss);
-  /// What was seen of the job's tasks before, here and at other schedulers.
+  /// Earlier findings about the job's tasks, from here and other schedulers.
   std::vector<SuspectTask> knownSuspects(const Job &New) const;
   bool isSuspected(const TaskId &Id) const;
-  /// Whether one more worker may run suspects.
+  /// Whether one more worker may run suspected tasks.
   bool mayHostMoreSuspects() const;
-  /// Keeps a worker free for a suspected task that finds none without runs.
+  /// Reserves a worker for a suspected task, which must run alone, when none is
+  /// idle.
   void reserveWorkerFor(const WaitingTask &Task, Time Now);
 
   // Conversations with workers (workerwatch.cpp).
@@ -334,47 +342,50 @@
   const SchedulerDependencies Deps_;
   FencingToken Token_;
   const LeaseSettings Lease_;
-  /// Callbacks look here before they touch a scheduler that may be gone.
+  /// Shared with callbacks, which check it before they access the scheduler;
+  /// false once it is destroyed.
   std::shared_ptr<bool> Alive_ = std::make_shared<bool>(true);
   /// Null where there is no log.
   std::unique_ptr<Batcher> Batches_;
 
-  /// Tasks of jobs of earlier terms wait until then; see above.
+  /// Tasks of jobs accepted under earlier tokens are queued at this time at the
+  /// latest; see the head of the file.
   Time TakeOverDeadline_;
   bool TakenOver_ = false;
 
   std::map<WorkerId, WorkerSession> Sessions_;
   scheduling::CallTiming Timing_;
-  /// Where each known run is. Invariant: agrees with Sessions_.
+  /// The worker of each known run. Invariant: agrees with Sessions_.
   std::unordered_map<TaskId, WorkerId> Places_;
-  /// Tasks that may start now, in order.
+  /// Tasks that are ready to start, in order.
   TaskQueue Queue_;
   std::unordered_map<TaskId, TaskRank> Ranks_;
-  /// The order of the active jobs.
+  /// The sequence numbers of the active jobs.
   std::unordered_map<JobId, std::uint64_t> JobOrders_;
   std::uint64_t LastJobOrder_ = 0;
-  /// Whether every task of the job has ended well or is just being recorded.
+  /// Whether each task of the job is done or its end is being recorded.
   bool isBeingCompleted(const JobId &Id) const;
   void runRecordingCallbacks(const JobId &Id);
 
-  /// Those who ask for jobs that are being completed.
+  /// Called once the end of the job is recorded; see whenRecorded().
   std::unordered_multimap<JobId, std::function<void()>> RecordingCallbacks_;
-  /// Tasks whose end is on its way into the log. They must not start before it
-  /// is there: it may be done, or have failed for the last time.
+  /// Tasks whose end or loss is being recorded in the log. They must not start
+  /// before that: the task may be done, or have failed for the last time.
   std::unordered_set<TaskId> Ending_;
-  /// Where each task that waits for another try has failed last.
+  /// The worker on which each task that waits for a retry failed last.
   std::unordered_map<TaskId, WorkerId> FailedAt_;
   std::unordered_map<TaskId, RunNumber> LastRuns_;
   std::unordered_set<JobId> Begun_;
-  /// What was seen of tasks of transient jobs, for jobs that are sent again.
+  /// Findings about tasks of transient jobs, kept for jobs that are sent again.
   SuspectsByJob Suspects_;
-  /// Transient jobs that were refused or given up before they began, and when.
+  /// Transient jobs that were refused or given up before they began, with the
+  /// time.
   std::map<JobId, std::pair<Time, TransientEnd>> Refused_;
-  /// Jobs that have ended, oldest first, with the time.
+  /// Durable jobs that have ended, oldest first, with the time.
   std::deque<std::pair<Time, JobId>> EndedJobs_;
   bool ScheduleDue_ = false;
 
-  /// Jobs that only this leader knows.
+  /// Transient jobs, which only this owner knows.
   JobStore Transient_;
   struct Waiter {
     WaiterId From;
@@ -383,50 +394,50 @@
   struct ActiveTransient {
     std::vector<Waiter> Waiters;
     Time Since;
-    /// How old it was then.
+    /// The age of the job at that time.
     Duration Age{0};
     scheduling::Usefulness Useful;
-    /// How long its longest chain of tasks runs, as of its arrival.
+    /// The expected run time of its longest chain of steps, as of its arrival.
     Duration Chain{0};
-    /// Served as one that cannot be in time.
+    /// Served after those that can end in time.
     bool Late = false;
-    /// How long it was to wait for the start of its last task, uncorrected, and
-    /// how many of the tasks that could start at once have not yet.
+    /// The uncorrected forecast of the wait until its last initial task starts,
+    /// and the number of initial tasks that have not started yet.
     std::optional<Duration> Forecast;
     std::size_t NotStarted = 0;
-    /// Of one that was given up: why, and when to come back.
+    /// For a job that was given up: why, and when to retry.
     std::string Reason;
     Duration RetryAfter{0};
-    /// It leaves an evacuated data centre.
+    /// Sent back since its workers are in evacuated data centres.
     bool Evacuated = false;
   };
-  /// Of transient jobs that are active.
+  /// The state of each active transient job.
   std::unordered_map<JobId, ActiveTransient> ActiveTransients_;
-  /// Transient jobs that leave; their runs are being stopped.
+  /// Transient jobs that are sent back once their runs have been stopped.
   std::unordered_set<JobId> Leaving_;
-  /// Evacuated data centres where tasks of this owner still run.
+  /// Evacuated data centres in which tasks of this owner still run.
   std::set<DataCentreId> EmptyingDataCentres_;
-  /// Tasks of unknown jobs that an earlier owner has left.
+  /// A task of an unknown job that an earlier owner started.
   struct Orphan {
     WorkerId Worker;
     RunNumber Run;
-    /// It has ended well; else it runs.
+    /// Ended successfully; otherwise still running.
     bool Done = false;
-    /// It was ordered to stop, and has not been seen to have ended.
+    /// Ordered to stop; its end has not been confirmed.
     bool Stopping = false;
   };
   std::unordered_map<TaskId, Orphan> Orphans_;
-  /// Those that run are kept until then.
+  /// Running orphans are not stopped before this time.
   Time OrphansUntil_;
-  /// Jobs that may run under another owner, and since when they wait.
+  /// Jobs that may be running under another owner, and since when they wait.
   std::unordered_map<JobId, Time> Unsettled_;
   Time AllQueriedAt_;
 
-  /// What was learned of each queue's tasks.
+  /// The run times learned for each queue.
   std::unordered_map<QueueName, scheduling::RunTimeModel> RunTimes_;
-  /// The work of transient jobs that was taken lately.
+  /// The work of transient jobs accepted recently.
   scheduling::Arrivals Arrivals_;
-  /// How far forecasts for jobs of each class of priority were off.
+  /// The accuracy of past wait forecasts for each priority class.
   std::array<scheduling::ForecastSkill, scheduling::PriorityClasses> Skills_;
   /// Transient jobs that have ended, oldest first.
   std::deque<std::pair<Time, JobId>> EndedTransients_;
--- a/src/jobs/internal/startorders.cpp
+++ b/src/jobs/internal/startorders.cpp
@@ -1,9 +1,9 @@
 //===- startorders.cpp - Orders to start a task ---------------------------===//
 //
-// What is sent, and what is made of the answer or of its absence. An order that
-// was not answered may be carried out as long as it is valid. Where that is a
-// whole lease, the worker is asked, and told to stop the run if it does not
-// show it: after that the order can do nothing, and the task starts elsewhere.
+// Sends start orders and handles the answer or its absence. An unanswered order
+// may still be carried out as long as it is valid. If that is a whole lease,
+// the worker's runs are queried, and the run is revoked if it is not among
+// them: after that the order has no effect, and the task can start elsewhere.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,15 +17,15 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// A worker that refused a task is left alone for this long: about the time in
+/// How long a worker that refused a task gets no orders: about the time in
 /// which it ends a task.
 constexpr Duration RestAfterRefusal = std::chrono::milliseconds(100);
-/// An answer is asked for so long after an order has become invalid; clocks are
-/// read in whole milliseconds.
+/// Added to the end of an order's validity before the worker is queried, since
+/// clocks are read in whole milliseconds.
 constexpr Duration ClockMargin = std::chrono::milliseconds(2);
-/// The first run of a durable job's task that another leader may have started
-/// is numbered from its term, so that it is above all numbers of earlier
-/// leaders.
+/// Run numbers reserved for each term. The first run of a durable job's task
+/// that an earlier leader may have started is numbered from the current term,
+/// so that it is above all numbers of earlier leaders.
 constexpr std::uint64_t RunsPerTerm = 1000;
 
 } // namespace
@@ -66,8 +66,8 @@
             {"worker", Session.Info.Worker},
             {"pool", Deps_.Pool},
             {"token", Token_.value()}});
-  // By then the worker's clock has passed the order's time, so that its answer
-  // to a question tells.
+  // By then the order has expired by the worker's clock, so that its answer to
+  // the query is conclusive.
   Deps_.Timers.after(leaseBound(Lease_, Valid) - Lease_.KillTime + ClockMargin,
                      [this, Alive = Alive_, Worker = Session.Info.Worker,
                       Task = Task.Id, Number = Order.Run] {
@@ -171,7 +171,7 @@
   if (Answer.Result == StartResult::Gone)
     return dropWorker(Worker, "another incarnation answered",
                       scheduling::WorkerLoss::Crashed);
-  // A worker that finds an order late shows how far its clock has come.
+  // A worker that reports an order as late also reports its clock.
   if (Answer.Clock)
     noteMoment(*Session, *Answer.Clock, Deps_.Clock.now());
   if (Answer.Result == StartResult::Fenced)
--- a/src/jobs/internal/suspects.cpp
+++ b/src/jobs/internal/suspects.cpp
@@ -1,4 +1,4 @@
-//===- suspects.cpp - What was seen of crashing tasks ---------------------===//
+//===- suspects.cpp - Findings about crashing tasks -----------------------===//
 
 #include "jobs/internal/suspects.h"
 
@@ -11,7 +11,6 @@
 
 namespace {
 
-/// Jobs that one message names.
 constexpr std::size_t MaxJobsPerMessage = 32;
 
 } // namespace
--- a/src/jobs/internal/suspects.h
+++ b/src/jobs/internal/suspects.h
@@ -1,8 +1,8 @@
-//===- suspects.h - What was seen of crashing tasks -------------*- C++ -*-===//
+//===- suspects.h - Findings about crashing tasks ---------------*- C++ -*-===//
 //
-// Tasks that may crash their workers, by job, as schedulers remember them and
-// entries tell each other. It outlives the owner that has seen it: a job that
-// is sent again is not counted anew.
+// Tasks that may crash their workers, by job. Schedulers remember them and
+// entries exchange them, so that the findings outlive the owner that made them:
+// when a job is sent again, the count of its crashes continues.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,24 +14,24 @@
 
 namespace geraniumbay::jobs {
 
-/// The row of one task, which is added if it is missing.
+/// Returns the row of one task; adds it if it is missing.
 SuspectTask &findOrAddRow(std::vector<SuspectTask> &Tasks, std::uint32_t Step,
                           std::uint32_t Index);
 
-/// Joins what was seen of one job's tasks.
+/// Merges findings about the tasks of one job.
 void merge(std::vector<SuspectTask> &Into,
            const std::vector<SuspectTask> &Other);
-/// The same for many jobs; each is kept as long as its latest finding.
+/// Merges findings about many jobs; each keeps the time of its latest finding.
 void merge(SuspectsByJob &Into, const SuspectsByJob &Other);
 
-/// Forgets what is older than KeepSuspects.
+/// Removes findings older than KeepSuspects.
 void forgetOld(SuspectsByJob &Suspects, Time Now);
 
 namespace wire {
 
 /// The latest findings, with their ages; null if there are none.
 Json::Value write(const SuspectsByJob &Suspects, Time Now);
-/// Leaves out what is malformed.
+/// Skips malformed rows.
 SuspectsByJob readSuspectsByJob(const Json::Value &From, Time Now);
 
 } // namespace wire
--- a/src/jobs/internal/taskqueue.h
+++ b/src/jobs/internal/taskqueue.h
@@ -1,7 +1,7 @@
 //===- taskqueue.h - Tasks that wait for a worker ---------------*- C++ -*-===//
 //
-// The order in which waiting tasks are served: by priority, then those whose
-// jobs can be in time, then by the order in which their jobs were accepted.
+// The order in which waiting tasks are served: by priority, then tasks of jobs
+// that can end in time, then by the order in which their jobs were accepted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +15,9 @@
 
 namespace geraniumbay::jobs {
 
-/// Tokens of control leaders are above all tokens of entries: once there are
-/// durable jobs, the leader of the log owns the workers.
+/// Added to the term of a control leader to form its token, so that it is above
+/// all tokens of entries: once there are durable jobs, the leader of the log
+/// owns the workers.
 constexpr std::uint64_t ControlTokenBase = std::uint64_t{1} << 50U;
 
 inline FencingToken tokenOf(control::LeaderTerm Term) {
@@ -30,9 +31,9 @@
 /// The place of a task in the order.
 struct TaskRank {
   std::uint32_t Priority = 0;
-  /// The job can be of use still, but not in time.
+  /// The job cannot end in time any more, but its result is still useful.
   bool Late = false;
-  /// Counts the jobs in the order in which this leader took them.
+  /// Sequence number of the job, in the order of acceptance by this leader.
   std::uint64_t JobOrder = 0;
   std::uint32_t Step = 0;
   std::uint32_t Index = 0;
@@ -41,12 +42,12 @@
   bool operator==(const TaskRank &) const = default;
 };
 
-/// A task that waits.
+/// A task that waits for a worker.
 struct WaitingTask {
   TaskId Id;
   Resources Needs;
   ServiceId Service;
-  /// What it is expected to take; zero if unknown.
+  /// Expected run time; zero if unknown.
   Duration Estimate{0};
 };
 
--- a/src/jobs/internal/transientend.h
+++ b/src/jobs/internal/transientend.h
@@ -1,6 +1,6 @@
 //===- transientend.h - How a transient job ended ---------------*- C++ -*-===//
 //
-// What a scheduler tells those who wait for a job that is not stored.
+// The answer of a scheduler to the requests that wait for a transient job.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,27 +11,27 @@
 
 namespace geraniumbay::jobs {
 
-/// Why a job ends as failed whose task crashes its workers.
+/// Reason of a failed job if one of its tasks crashes its workers.
 constexpr const char *CrashReason = "a task of it crashes its workers";
-/// Why a job is refused whose workers are all in such data centres.
+/// Reason of a refused job if all its workers are in evacuated data centres.
 constexpr const char *EvacuationReason = "its data centre is evacuated";
-/// When it is worth coming back where all are: operators take minutes.
+/// Retry interval if all data centres are evacuated: evacuations last minutes.
 constexpr Duration RetryAfterEvacuation = std::chrono::seconds(5);
 
 struct TransientEnd {
-  /// Completed or Failed; or Cancelled if no task of it was started, or if it
-  /// leaves an evacuated data centre.
+  /// Completed or Failed; or Cancelled if no task was started, or if the job is
+  /// sent back from an evacuated data centre.
   JobState State = JobState::Cancelled;
-  /// Of a cancelled one: why, and when it is worth coming back.
+  /// For a cancelled job: why, and when to retry.
   std::string Reason;
   Duration RetryAfter{0};
-  /// Of a cancelled one: the workers here are in an evacuated data centre.
+  /// For a cancelled job: its workers here are in evacuated data centres.
   bool Evacuated = false;
-  /// Tasks of it were started. All of them have ended.
+  /// Some of its tasks were started; all of them have ended.
   bool HasRun = false;
 };
 
-/// A refusal: the job is to come back after \p RetryAfter.
+/// A refusal; the caller may retry after \p RetryAfter.
 inline TransientEnd refusalOf(std::string Reason, Duration RetryAfter) {
   TransientEnd Result;
   Result.Reason = std::move(Reason);
@@ -39,7 +39,7 @@
   return Result;
 }
 
-/// An end of a job that has run.
+/// The end of a job that has run.
 inline TransientEnd endedAs(JobState State, std::string Reason = "") {
   TransientEnd Result;
   Result.State = State;
--- a/src/jobs/internal/transientjobs.cpp
+++ b/src/jobs/internal/transientjobs.cpp
@@ -1,7 +1,7 @@
-//===- transientjobs.cpp - Jobs that only the owner knows -----------------===//
+//===- transientjobs.cpp - Jobs in the owner's memory ---------------------===//
 //
-// A transient job lives in the owner's memory; its callers wait for its end at
-// their entries, its origins.
+// A transient job is kept only in the owner's memory. Its callers wait for its
+// end at their entries, which are its origins.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,14 +19,14 @@
 /// How long the end of a job is remembered for callers that send it again
 /// because its answer was lost; they do so within seconds.
 constexpr Duration TransientEndRetention = std::chrono::seconds(10);
-/// A refusal stands for so long: the entry that heard it takes the job to
-/// another pool, while a second sending of the same job may still be on its way
-/// here. Callers come back after a second at the earliest.
+/// How long a refusal is repeated for the same job: the entry that received it
+/// submits the job to another pool, while a duplicate request may still be on
+/// its way here. Callers retry after a second at the earliest.
 constexpr Duration RefusalRetention = std::chrono::milliseconds(500);
-/// When it is worth coming back with a job for which all workers are too small:
-/// they announce their room about every second.
+/// Retry interval for a job for which all workers are too small: they announce
+/// their capacity about every second.
 constexpr Duration RetryAfterTooLarge = std::chrono::seconds(2);
-/// How often all workers are looked at while jobs wait for that.
+/// Least interval between queries of all workers while jobs wait for them.
 constexpr Duration QueryInterval = std::chrono::milliseconds(20);
 
 } // namespace
@@ -41,7 +41,7 @@
       ActiveTransients_[Id].Waiters.push_back({Request.From, std::move(Ended)});
       return;
     }
-    // One that was given up before it began may be handed in again.
+    // A job that was given up before it began may be submitted again.
     if (Known->State != JobState::Cancelled)
       return Ended(endedAs(Known->State));
     Transient_.Jobs.erase(Id);
@@ -63,7 +63,7 @@
   bool RunsNowhere = !Request.MaybeTaken && !hasOrphans(Id);
   if (RunsNowhere && isShutOut(New))
     return Ended(noteShutOut(Id, false));
-  // Right after a take-over nobody can tell how long it will wait.
+  // Right after a take-over the wait cannot be forecast.
   if (RunsNowhere && knowsWorkersOf(New.Service)) {
     if (!fitsAnyWorker(New))
       return Ended(
@@ -184,7 +184,7 @@
 void Scheduler::releaseUnsettled(Time Now) {
   if (Unsettled_.empty())
     return;
-  // A worker that is not known here may still run tasks of these jobs.
+  // An unknown worker may still run tasks of these jobs.
   Time LeastLooked = Deps_.KnowsAllWorkers() ? Now : Time();
   for (const auto &[Worker, Session] : Sessions_)
     LeastLooked = std::min(LeastLooked, Session.LookedAt);
--- a/src/jobs/internal/workerlosses.cpp
+++ b/src/jobs/internal/workerlosses.cpp
@@ -1,7 +1,7 @@
-//===- workerlosses.cpp - Workers that are lost ---------------------------===//
+//===- workerlosses.cpp - Lost workers and crashing tasks -----------------===//
 //
-// What becomes of the tasks of a worker that is lost, and which of them may
-// have crashed it.
+// Requeues the tasks of a lost worker and keeps track of those that may have
+// crashed it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// A worker is kept free for so long for a task that must run alone: some times
-/// what tasks take.
+/// How long a worker is reserved for a task that must run alone: a few times
+/// the run time of a task.
 constexpr Duration ReservationTime = std::chrono::seconds(2);
 
 } // namespace
@@ -42,7 +42,7 @@
     removeRun(Session, Task);
     Places_.erase(Task);
   }
-  // One that leaves as planned was not crashed.
+  // A worker that is draining was not crashed by a task.
   if (!Session.Info.Draining)
     return countLosses(std::move(Lost));
   for (const TaskLoss &Each : Lost)
@@ -52,7 +52,7 @@
 void Scheduler::countLosses(std::vector<TaskLoss> Losses) {
   auto Middle = std::stable_partition(
       Losses.begin(), Losses.end(), [&](const TaskLoss &Each) {
-        // A job may have been forgotten while a run of it was being stopped.
+        // A job may have been removed while a run of it was being stopped.
         return !findJob(Deps_.Store, Each.Task.Job);
       });
   std::vector<TaskLoss> Durable(Middle, Losses.end());
@@ -66,15 +66,14 @@
 }
 
 void Scheduler::countLossesDurably(const std::vector<TaskLoss> &Losses) {
-  // They must not start before the log holds what speaks against them.
+  // They must not start before their losses are in the log.
   for (const TaskLoss &Each : Losses)
     Ending_.insert(Each.Task);
   JobChanges Changes;
   Changes.Lost = Losses;
   Batches_->add(std::move(Changes),
                 [this, Alive = Alive_, Losses](const Outcome<Done> &Result) {
-                  // Without an answer from the log this leader is none any
-                  // more.
+                  // A failed append means that the leadership was lost.
                   if (!*Alive || !Result)
                     return;
                   for (const TaskLoss &Each : Losses)
