--- a/src/jobs/internal/placement.cpp
+++ b/src/jobs/internal/placement.cpp
@@ -119,8 +119,8 @@
         !hasRoom(Each, Task.Needs, Now) || !suits(Each, Step, Task.Id) ||
         !isTrusted(Each) || !mayRunThere(Each, Suspected, Now))
       continue;
-    // Workers on which it has failed before, slow workers and those that have
-    // not answered an earlier order are used only if no other one has room.
+    // The worker on which it failed last, slow workers and those with an
+    // unanswered order are used only if no other one has room.
     bool Failed = FailedAt != FailedAt_.end() && FailedAt->second == Id;
     double Factor = paceFactorOf(Each, Now);
     bool Slow = Factor >= scheduling::SlowFactor;
--- a/src/jobs/internal/transientend.h
+++ b/src/jobs/internal/transientend.h
@@ -15,7 +15,8 @@
 constexpr const char *CrashReason = "a task of it crashes its workers";
 /// Reason of a refused job if all its workers are in evacuated data centres.
 constexpr const char *EvacuationReason = "its data centre is evacuated";
-/// Retry interval if all data centres are evacuated: evacuations last minutes.
+/// Retry interval if all data centres are evacuated: operators take minutes to
+/// end an evacuation.
 constexpr Duration RetryAfterEvacuation = std::chrono::seconds(5);
 
 struct TransientEnd {
--- a/src/jobs/tests/crashestest.cpp
+++ b/src/jobs/tests/crashestest.cpp
@@ -1,8 +1,9 @@
 //===- crashestest.cpp - Tasks that crash their workers -------------------===//
 //
-// Whole entries and workers: a crashing task is started a few times at most,
-// whoever owns the pool and however often its job is sent, and what runs beside
-// it is served. Workers whose room shrinks get no more than fits.
+// Complete entries with workers: a crashing task is started a few times at
+// most, whichever entry owns the pool and however often its job is submitted,
+// and other jobs are still served. Workers whose capacity shrinks get no more
+// tasks than fit.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,8 +17,8 @@
 
 using namespace std::chrono_literals;
 
-/// The most starts of a task that the users allow: three workers may crash
-/// under it, and it may be started twice more.
+/// The most starts of a crashing task that users accept: three workers may
+/// crash, and the task may be started twice more.
 constexpr std::uint64_t MostStarts = 5;
 
 class CrashPlay {
@@ -62,8 +63,8 @@
 }
 
 // A job is cancelled, and its worker is lost before the run has been stopped:
-// nothing speaks against the task when the job is sent again.
-TEST(CrashesTest, ALostWorkerOfACancelledJobMakesNobodyGuilty) {
+// that does not count against the task when the job is submitted again.
+TEST(CrashesTest, ALostWorkerOfACancelledJobIsNotCounted) {
   CrashPlay Play(1, 2);
   Play.Fake.Workers.TaskTime = 800ms;
   auto First = Play.Fake.submit(Play.Fake.owners().at(0), "job", 1);
@@ -80,8 +81,8 @@
   EXPECT_TRUE(served(Again));
 }
 
-// The caller gives up and sends the job again, here and elsewhere.
-TEST(CrashesTest, SendingAgainDoesNotStartTheCountAnew) {
+// The caller gives up and submits the job again, at the same entry and others.
+TEST(CrashesTest, SubmittingAgainDoesNotResetTheCount) {
   CrashPlay Play(2, 6);
   Play.Fake.Workers.CrashingJobs.insert(JobId("bad"));
   for (std::size_t I = 0; I < 12; ++I) {
@@ -93,9 +94,9 @@
   EXPECT_LE(Play.mostStarts(), MostStarts);
 }
 
-// The owner of the pool dies after the first crash; the next one is told what
-// was seen by the entry that waits for the job.
-TEST(CrashesTest, TheCountTravelsToTheNextOwner) {
+// The owner of the pool crashes after the first worker loss; the entry that
+// waits for the job passes the findings on to the next owner.
+TEST(CrashesTest, TheNextOwnerContinuesTheCount) {
   CrashPlay Play(3, 6);
   Play.Fake.Workers.CrashingJobs.insert(JobId("bad"));
   std::size_t Owner = Play.Fake.owners().at(0);
@@ -109,9 +110,9 @@
   EXPECT_LE(Play.mostStarts(), 4U);
 }
 
-// Guards against an owner that counts anew: it heard of the task as an entry,
-// and another entry, which did not, brings the job.
-TEST(CrashesTest, ANewOwnerUsesWhatItHeardBefore) {
+// Guards against a new owner that resets the count: it received the findings
+// while it was only an entry, and an entry without them submits the job.
+TEST(CrashesTest, ANewOwnerUsesFindingsReceivedBefore) {
   CrashPlay Play(2, 6);
   Play.Fake.Workers.CrashingJobs.insert(JobId("bad"));
   std::size_t Owner = Play.Fake.owners().at(0);
@@ -131,9 +132,9 @@
   EXPECT_EQ(Play.mostStarts(), Starts);
 }
 
-// Guards against an owner that has just started and counts anew what another
-// entry has heard of.
-TEST(CrashesTest, AnOwnerThatStartsAnewIsToldWhatOthersHaveHeard) {
+// Guards against a restarted owner that resets the count although another entry
+// has the findings.
+TEST(CrashesTest, ARestartedOwnerGetsTheFindingsOfOtherEntries) {
   CrashPlay Play(2, 6);
   Play.Fake.Workers.CrashingJobs.insert(JobId("bad"));
   const std::vector<std::size_t> Owner = {0};
@@ -153,9 +154,9 @@
   EXPECT_EQ(Play.mostStarts(), Starts);
 }
 
-// Guards against owners that die right after they have started the task again,
-// before anybody has asked them.
-TEST(CrashesTest, ALossIsToldBeforeTheTaskIsStartedAgain) {
+// Guards against findings that are lost with an owner that crashes right after
+// it has started the task again, before any entry has queried it.
+TEST(CrashesTest, ALossIsReportedBeforeTheTaskIsStartedAgain) {
   CrashPlay Play(2, 8);
   Play.Fake.Workers.CrashingJobs.insert(JobId("bad"));
   for (int Lost = 0; Lost < 2; ++Lost) {
@@ -186,8 +187,8 @@
   EXPECT_LE(Play.mostStarts(), 3U);
 }
 
-// A job of 24 crashing tasks: after the first ones only a few workers at a time
-// are left to them, and the jobs that come beside it are served.
+// A job of 24 crashing tasks: after the first crashes its tasks get only a few
+// workers at a time, and other jobs are served.
 TEST(CrashesTest, AWideCrashingJobLeavesWorkersToOthers) {
   CrashPlay Play(2, 12);
   Play.Fake.Workers.CrashingJobs.insert(JobId("bad"));
@@ -205,8 +206,9 @@
   EXPECT_TRUE(failed(Bad));
 }
 
-/// Plays random sendings of four crashing jobs beside good ones. With
-/// \p LosesOwners any entry may be lost, else only such as own nothing.
+/// Submits four crashing jobs and other jobs at random while entries crash.
+/// With \p LosesOwners any entry may crash, otherwise only those that own no
+/// pool.
 void playAtRandom(CrashPlay &Play, Random &Rng, bool LosesOwners) {
   Play.Fake.Workers.CrashDown = Duration(500'000 + Rng.below(3'000'000));
   std::map<std::string, std::vector<std::shared_ptr<Submitted>>> Jobs;
@@ -219,7 +221,7 @@
       std::string Name = Rng.below(3) == 0
                              ? "bad" + std::to_string(Rng.below(4))
                              : "good" + std::to_string(Step);
-      // Callers send a job again only while they have no answer.
+      // Callers submit a job again only while they have no answer.
       std::vector<std::shared_ptr<Submitted>> &Sent = Jobs[Name];
       if (std::none_of(Sent.begin(), Sent.end(), failed))
         Sent.push_back(Play.Fake.submit(Entry, Name, 2));
@@ -248,8 +250,8 @@
   RC_ASSERT(Play.Fake.Workers.Doubled.empty());
 }
 
-// Owners are lost in series too, at moments at which nobody else knows yet that
-// a worker has crashed.
+// Owners crash one after the other too, also at moments when no other entry
+// knows yet that a worker has crashed.
 RC_GTEST_PROP(CrashesProperties, NoCrashingTaskIsStartedOftenByManyOwners,
               (std::uint64_t Seed)) {
   Random Rng(Seed);
@@ -259,9 +261,9 @@
   RC_ASSERT(Play.Fake.Workers.Doubled.empty());
 }
 
-// A worker refuses for want of room though it announced more: it is not asked
-// again and again before it may have announced itself.
-TEST(CrashesTest, ARefusalForWantOfRoomIsHeeded) {
+// A worker refuses a task for lack of capacity although it announced more: it
+// is not sent orders repeatedly before its next announcement.
+TEST(CrashesTest, ARefusalForLackOfCapacityStopsFurtherOrders) {
   CrashPlay Play(1, 2);
   Play.Fake.Workers.TaskTime = 3s;
   const WorkerId Shrunk = Play.Fake.announced().front().Worker;
@@ -272,8 +274,8 @@
   EXPECT_LE(Play.Fake.Workers.RoomRefusals, 8U);
 }
 
-// Once it is announced that no worker is large enough, a job is refused at once
-// and truly was not run.
+// Once all workers announce too little capacity, a job is refused at once and
+// none of its tasks is started.
 TEST(CrashesTest, AJobThatFitsNoWorkerIsRefusedAtOnce) {
   CrashPlay Play(1, 2);
   for (WorkerInfo &Each : Play.Fake.announcements())
--- a/src/jobs/tests/evacuationtest.cpp
+++ b/src/jobs/tests/evacuationtest.cpp
@@ -1,8 +1,8 @@
 //===- evacuationtest.cpp - Entries and evacuated data centres ------------===//
 //
-// Whole entries with the job service of a control VM, on a paused clock: an
+// Complete entries with the job service of a control VM, on a manual clock: an
 // evacuated data centre gets no more tasks, its callers are served elsewhere,
-// and nothing starts there by ignorance.
+// and entries that do not know the evacuations yet start nothing there.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,8 @@
 const DataCentreId A("a");
 const DataCentreId B("b");
 
-/// A question to control each 300 ms and its answer, with a margin.
+/// When an order is in force at all entries: they query control every 300 ms;
+/// with a margin for the answer.
 constexpr Duration InForce = 400ms;
 
 class EvacuationTest : public testing::Test {
@@ -41,7 +42,7 @@
     return *Result;
   }
 
-  /// One job at each entry, \p Tasks wide.
+  /// Submits one job with \p Tasks tasks at each entry.
   std::vector<std::shared_ptr<Submitted>> submitAll(std::uint32_t Tasks) {
     std::vector<std::shared_ptr<Submitted>> Jobs;
     for (std::size_t I = 0; I < Fake->Entries.size(); ++I)
@@ -49,7 +50,7 @@
     return Jobs;
   }
 
-  /// Jobs at all entries, one after the other; each is to be served.
+  /// Submits jobs at all entries in \p Rounds rounds and expects all served.
   void serveRounds(int Rounds) {
     for (int I = 0; I < Rounds; ++I) {
       auto Jobs = submitAll(2);
@@ -100,7 +101,7 @@
   EXPECT_EQ(startsIn(A), Before);
 }
 
-TEST_F(EvacuationTest, WhatRunsEndsUndisturbed) {
+TEST_F(EvacuationTest, RunningTasksEndUndisturbed) {
   build(60);
   Fake->Workers.TaskTime = 1500ms;
   auto Jobs = submitAll(2);
@@ -111,9 +112,9 @@
   EXPECT_EQ(Fake->Workers.Starts, 2 * Jobs.size());
 }
 
-// Jobs come until the order is in force, so that some wait in full pools, with
-// some tasks that run and without.
-TEST_F(EvacuationTest, WhatWaitsGoesToTheOtherDataCentre) {
+// Jobs are submitted until the order is in force, so that some wait in full
+// pools, with and without running tasks.
+TEST_F(EvacuationTest, WaitingJobsGoToTheOtherDataCentre) {
   build(52);
   Fake->Workers.TaskTime = 200ms;
   std::vector<std::shared_ptr<Submitted>> Jobs;
@@ -202,7 +203,7 @@
   EXPECT_EQ(startsIn(A), 0U);
 }
 
-TEST_F(EvacuationTest, ANameThatNobodyKnowsIsRefused) {
+TEST_F(EvacuationTest, AnUnknownDataCentreIsRefused) {
   build(10);
   auto Was = order(DataCentreId("nowhere"), true);
   ASSERT_FALSE(Was);
@@ -238,9 +239,9 @@
   EXPECT_EQ(Listed[0]["running"].asUInt64(), 0U);
 }
 
-// Orders, crashes and restarts of entries, and jobs, in series: nothing starts
+// Random evacuations, crashes and restarts of entries, and jobs: nothing starts
 // in a data centre that all entries know to be evacuated, no task runs twice at
-// a time, and service is whole afterwards.
+// a time, and all jobs are served afterwards.
 RC_GTEST_PROP(EvacuationProperties, NothingStartsWhereAllIsEvacuated,
               (std::uint64_t Seed)) {
   Random Rng(Seed);
--- a/src/jobs/tests/schedulerfake.h
+++ b/src/jobs/tests/schedulerfake.h
@@ -1,7 +1,6 @@
 //===- schedulerfake.h - Schedulers with two workers ------------*- C++ -*-===//
 //
-// Owners that follow each other over one log and two workers, on a paused
-// clock.
+// Successive owners of two workers that share one log, on a manual clock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -54,7 +53,7 @@
     for (Time End = Clock.now() + For; Clock.now() < End;) {
       Clock.advance(Step);
       while (Timers.runDue() != 0) {
-        // What a callback makes due at once runs in this millisecond too.
+        // Callbacks that become due at once run in the same millisecond.
       }
     }
   }
--- a/src/jobs/tests/startorderstest.cpp
+++ b/src/jobs/tests/startorderstest.cpp
@@ -1,8 +1,8 @@
 //===- startorderstest.cpp - Orders that are not answered -----------------===//
 //
-// The pattern: workers leave some orders unanswered and carry them out late. An
-// order to an idle worker carries a whole lease, so that it is valid for a
-// second; a short task that waits for the end of that is of no use any more.
+// Workers leave some orders unanswered and carry them out late. An order to an
+// idle worker carries a whole lease, so it is valid for a second; a short task
+// that waited for its expiry would end too late to be useful.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 protected:
   StartOrdersTest() { Workers.TaskTime = 60ms; }
 
-  /// Hands in the job, whose first order gets lost.
+  /// Submits the job and loses its first start order.
   std::shared_ptr<std::optional<JobState>> loseFirstOrder(Scheduler &Owner) {
     auto Ended = std::make_shared<std::optional<JobState>>();
     TransientRequest New;
@@ -40,14 +40,14 @@
   run(195ms);
   EXPECT_EQ(*Ended, JobState::Completed);
   EXPECT_EQ(Workers.Starts, 1U);
-  // The lost order arrives later, and finds that it was revoked.
+  // The delayed order arrives after it was revoked and starts nothing.
   run(8s);
   EXPECT_EQ(Workers.Starts, 1U);
   EXPECT_TRUE(Workers.Doubled.empty());
 }
 
-// Orders and stops get lost alike: nothing is started elsewhere before one of
-// them is known to have arrived, or the order to be invalid.
+// Start and stop orders are both lost at random: no task is started elsewhere
+// before one of them is known to have arrived or the start order has expired.
 TEST_F(StartOrdersTest, NoTaskRunsTwiceWhereAnyOrderMayGetLost) {
   for (std::uint64_t Seed = 1; Seed <= 200; ++Seed) {
     Workers.Rng = Random(Seed);
