--- a/src/jobs/internal/endrecords.cpp
+++ b/src/jobs/internal/endrecords.cpp
@@ -53,22 +53,22 @@
     Into.Ended.push_back({End.Task, End.Run, End.How == EndKind::Done});
   }
   WorkerId Worker = Session.Info.Worker;
-  std::uint64_t LastEnd = Session.TakenEnd;
+  std::uint64_t Upto = Session.TakenEnd;
   if (Durable.empty())
-    Session.RecordedEnd = LastEnd;
+    Session.RecordedEnd = Upto;
   else
-    recordDurably(Worker, LastEnd, std::move(Durable));
+    recordDurably(Worker, Upto, std::move(Durable));
   apply(Transient_, TransientEnds);
   onCommitted(TransientEnds);
 }
 
-void Scheduler::recordDurably(const WorkerId &Worker, std::uint64_t LastEnd,
+void Scheduler::recordDurably(const WorkerId &Worker, std::uint64_t Upto,
                               JobChanges Changes) {
   JobChanges Copy = Changes;
   for (const TaskEnd &End : Changes.Ended)
     Ending_.insert(End.Task);
   Batches_->add(std::move(Changes),
-                [this, Alive = Alive_, Worker, LastEnd,
+                [this, Alive = Alive_, Worker, Upto,
                  Ends = std::move(Copy)](const Outcome<Done> &Result) {
                   // A failed append means that the leadership was lost; the
                   // next leader gets the ends from the worker.
@@ -84,8 +84,7 @@
                   WorkerSession *Session = session(Worker);
                   if (!Session)
                     return;
-                  Session->RecordedEnd =
-                      std::max(Session->RecordedEnd, LastEnd);
+                  Session->RecordedEnd = std::max(Session->RecordedEnd, Upto);
                   if (Session->RecordedEnd == Session->TakenEnd)
                     hold(*Session);
                 });
--- a/src/jobs/internal/scheduler.cpp
+++ b/src/jobs/internal/scheduler.cpp
@@ -23,7 +23,6 @@
 /// the time in which it releases its ownership and its entries submit their
 /// jobs here.
 constexpr Duration MergedOrphanRetention = std::chrono::milliseconds(500);
-
 constexpr std::size_t MaxForgottenPerBatch = 200;
 
 } // namespace
@@ -288,7 +287,7 @@
     EndedJobs_.pop_front();
   }
   if (!Changes.empty() && Batches_)
-    Batches_->add(std::move(Changes), [](const Outcome<Done> & /*Was*/) {
+    Batches_->add(std::move(Changes), [](const Outcome<Done> & /*Result*/) {
       // On failure a later leader removes these jobs.
     });
 }
--- a/src/jobs/internal/scheduler.h
+++ b/src/jobs/internal/scheduler.h
@@ -296,7 +296,7 @@
 
   // Lost workers, and tasks that crash them (workerlosses.cpp).
   void loseRuns(WorkerSession &Session, const char *Reason,
-                scheduling::WorkerLoss Kind);
+                scheduling::WorkerLoss Loss);
   /// Counts the losses against their tasks, which are queued again unless they
   /// are given up.
   void countLosses(std::vector<TaskLoss> Losses);
--- a/src/jobs/internal/workerlosses.cpp
+++ b/src/jobs/internal/workerlosses.cpp
@@ -22,13 +22,13 @@
 } // namespace
 
 void Scheduler::loseRuns(WorkerSession &Session, const char *Reason,
-                         scheduling::WorkerLoss Kind) {
+                         scheduling::WorkerLoss Loss) {
   Deps_.Measured.count("geraniumbay_worker_losses_total",
                        "Workers lost with tasks on them.",
-                       {{"how", scheduling::workerLossName(Kind)}});
+                       {{"how", scheduling::workerLossName(Loss)}});
   std::vector<TaskLoss> Lost;
   for (const auto &[Task, Each] : Session.Runs)
-    Lost.push_back({Task, Kind, Session.Runs.size() == 1});
+    Lost.push_back({Task, Loss, Session.Runs.size() == 1});
   for (const TaskLoss &Each : Lost) {
     const TaskId &Task = Each.Task;
     logEvent(LogLevel::Warning, Module, "run_lost",
@@ -37,7 +37,7 @@
               {"index", Task.Index},
               {"worker", Session.Info.Worker},
               {"reason", Reason},
-              {"loss", scheduling::workerLossName(Kind)},
+              {"loss", scheduling::workerLossName(Loss)},
               {"beside", Lost.size() - 1}});
     removeRun(Session, Task);
     Places_.erase(Task);
--- a/src/jobs/tests/evacuationtest.cpp
+++ b/src/jobs/tests/evacuationtest.cpp
@@ -21,7 +21,7 @@
 
 /// When an order is in force at all entries: they query control every 300 ms;
 /// with a margin for the answer.
-constexpr Duration InForce = 400ms;
+constexpr Duration InForceAfter = 400ms;
 
 class EvacuationTest : public testing::Test {
 public:
@@ -35,7 +35,8 @@
   Outcome<Done> order(const DataCentreId &DataCentre, bool Evacuate) {
     std::optional<Outcome<Done>> Result;
     Control->Service.orderEvacuation(
-        DataCentre, Evacuate, [&](const Outcome<Done> &Was) { Result = Was; });
+        DataCentre, Evacuate,
+        [&](const Outcome<Done> &Reply) { Result = Reply; });
     Fake->run(50ms);
     if (!Result)
       return Error{ErrorCode::Timeout, "no answer"};
@@ -75,7 +76,7 @@
 TEST_F(EvacuationTest, CallersOfAnEvacuatedDataCentreAreServedElsewhere) {
   build(60);
   ASSERT_TRUE(order(A, true));
-  Fake->run(InForce);
+  Fake->run(InForceAfter);
   std::uint64_t Before = startsIn(A);
   serveRounds(20);
   EXPECT_EQ(startsIn(A), Before);
@@ -95,7 +96,7 @@
 TEST_F(EvacuationTest, OnePoolUsesTheWorkersOfTheOtherDataCentre) {
   build(10);
   ASSERT_TRUE(order(A, true));
-  Fake->run(InForce);
+  Fake->run(InForceAfter);
   std::uint64_t Before = startsIn(A);
   serveRounds(10);
   EXPECT_EQ(startsIn(A), Before);
@@ -128,8 +129,8 @@
   SubmitFor(500ms);
   std::optional<Outcome<Done>> Recorded;
   Control->Service.orderEvacuation(
-      A, true, [&](const Outcome<Done> &Was) { Recorded = Was; });
-  SubmitFor(InForce);
+      A, true, [&](const Outcome<Done> &Reply) { Recorded = Reply; });
+  SubmitFor(InForceAfter);
   Fake->run(3s);
   EXPECT_TRUE(Recorded && *Recorded);
   std::size_t Served = 0;
@@ -152,7 +153,7 @@
     build(WorkersEach);
     ASSERT_TRUE(order(A, true));
     ASSERT_TRUE(order(B, true));
-    Fake->run(InForce);
+    Fake->run(InForceAfter);
     std::uint64_t Before = Fake->Workers.Starts;
     auto Jobs = submitAll(2);
     Fake->run(50ms);
@@ -169,7 +170,7 @@
 TEST_F(EvacuationTest, AnEntryThatHasJustStartedStartsNothingThere) {
   build(60);
   ASSERT_TRUE(order(A, true));
-  Fake->run(InForce);
+  Fake->run(InForceAfter);
   std::uint64_t Before = startsIn(A);
   for (std::size_t I = 0; I < Fake->Entries.size(); ++I)
     Fake->crash(I);
@@ -205,9 +206,9 @@
 
 TEST_F(EvacuationTest, AnUnknownDataCentreIsRefused) {
   build(10);
-  auto Was = order(DataCentreId("nowhere"), true);
-  ASSERT_FALSE(Was);
-  EXPECT_EQ(Was.error().Code, ErrorCode::NotFound);
+  auto Reply = order(DataCentreId("nowhere"), true);
+  ASSERT_FALSE(Reply);
+  EXPECT_EQ(Reply.error().Code, ErrorCode::NotFound);
 }
 
 TEST_F(EvacuationTest, OperatorsSeeHowFarItIsObeyed) {
@@ -241,7 +242,7 @@
 
 // Random evacuations, crashes and restarts of entries, and jobs: nothing starts
 // in a data centre that all entries know to be evacuated, no task runs twice at
-// a time, and all jobs are served afterwards.
+// a time, and a job is served afterwards.
 RC_GTEST_PROP(EvacuationProperties, NothingStartsWhereAllIsEvacuated,
               (std::uint64_t Seed)) {
   Random Rng(Seed);
@@ -253,24 +254,24 @@
   std::set<std::size_t> Lost;
   int Job = 0;
   for (int Step = 0; Step < 30; ++Step) {
-    const DataCentreId &Where = Rng.below(2) == 0 ? A : B;
+    const DataCentreId &Target = Rng.below(2) == 0 ? A : B;
     if (Rng.below(3) == 0) {
       bool Evacuate = Rng.below(2) == 0;
-      Since.erase(Where);
+      Since.erase(Target);
       Control.Service.orderEvacuation(
-          Where, Evacuate,
-          [&Fake, &Since, Where, Evacuate](const Outcome<Done> &Was) {
-            RC_ASSERT(Was.ok());
+          Target, Evacuate,
+          [&Fake, &Since, Target, Evacuate](const Outcome<Done> &Reply) {
+            RC_ASSERT(Reply.ok());
             if (Evacuate)
-              Since[Where] = Fake.Clock.now();
+              Since[Target] = Fake.Clock.now();
           });
     }
-    std::size_t Which = Rng.below(Fake.Entries.size());
+    std::size_t Entry = Rng.below(Fake.Entries.size());
     if (Rng.below(3) == 0) {
-      if (Lost.erase(Which) != 0)
-        Fake.start(Which);
-      else if (Lost.size() < 5 && Lost.insert(Which).second)
-        Fake.crash(Which);
+      if (Lost.erase(Entry) != 0)
+        Fake.start(Entry);
+      else if (Lost.size() < 5 && Lost.insert(Entry).second)
+        Fake.crash(Entry);
     }
     for (std::size_t I = 0; I < Fake.Entries.size(); ++I)
       if (Lost.count(I) == 0)
@@ -278,13 +279,13 @@
                     1 + static_cast<std::uint32_t>(Rng.below(6)));
     Fake.run(Duration(50'000 + Rng.below(300'000)));
     for (const auto &[DataCentre, At] : Since)
-      RC_ASSERT(Fake.Workers.LastStartIn[DataCentre] <= At + InForce);
+      RC_ASSERT(Fake.Workers.LastStartIn[DataCentre] <= At + InForceAfter);
   }
   RC_ASSERT(Fake.Workers.Doubled.empty());
   for (const DataCentreId &Each : {A, B})
     Control.Service.orderEvacuation(Each, false, [](const Outcome<Done> &) {});
-  for (std::size_t Which : Lost)
-    Fake.start(Which);
+  for (std::size_t Entry : Lost)
+    Fake.start(Entry);
   Fake.Workers.TaskTime = 50ms;
   Fake.run(4s);
   auto Last = Fake.submit(0, "last", 2);
--- a/src/jobs/tests/startorderstest.cpp
+++ b/src/jobs/tests/startorderstest.cpp
@@ -23,9 +23,9 @@
     TransientRequest New;
     New.TimeLeft = 5s;
     Faults.LatePercent = 100;
-    Owner.run(job(true), New, [Ended](const Outcome<TransientEnd> &Was) {
-      ASSERT_TRUE(Was);
-      *Ended = Was->State;
+    Owner.run(job(true), New, [Ended](const Outcome<TransientEnd> &Result) {
+      ASSERT_TRUE(Result);
+      *Ended = Result->State;
     });
     run(5ms);
     Faults.LatePercent = 0;
