--- a/src/jobs/internal/endrecords.cpp
+++ b/src/jobs/internal/endrecords.cpp
@@ -1,7 +1,7 @@
-//===- endrecords.cpp - Ends of runs, recorded ----------------------------===//
+//===- endrecords.cpp - Recording the ends of runs ------------------------===//
 //
-// What a run's end tells of its task and its worker. The end of a durable task
-// is in the log before the worker may forget it.
+// Updates what is known of tasks and workers when runs end. A worker may forget
+// the end of a durable task only once it is in the log.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,9 +18,10 @@
 
 } // namespace
 
-void Scheduler::recordEnds(WorkerSession &On, const HoldFindings &Findings) {
+void Scheduler::recordEnds(WorkerSession &Session,
+                           const HoldFindings &Findings) {
   JobChanges Durable;
-  JobChanges Passing;
+  JobChanges TransientEnds;
   for (const EndedTask &End : Findings.Ended) {
     const TaskRecord *Record = taskOf(End.Task);
     if (End.Kind != EndKind::Done && Record)
@@ -29,36 +30,36 @@
                 {"step", End.Task.Step},
                 {"index", End.Task.Index},
                 {"run", End.Run.value()},
-                {"worker", On.Info.Worker},
+                {"worker", Session.Info.Worker},
                 {"counts", End.Kind == EndKind::Failed},
                 {"failures", Record->Failures}});
     if (End.Kind == EndKind::Other || !Record || Record->Done)
       continue;
     bool Succeeded = End.Kind == EndKind::Done;
-    noteEnd(On, Succeeded, Record->Failures == 0, Needs_.Clock.now());
-    auto Took = Findings.RunTimings.find(End.Task);
-    if (Succeeded && Took != Findings.RunTimings.end())
-      noteRan(On, End.Task, Took->second);
+    noteEnd(Session, Succeeded, Record->Failures == 0, Deps_.Clock.now());
+    auto RunTime = Findings.RunTimings.find(End.Task);
+    if (Succeeded && RunTime != Findings.RunTimings.end())
+      noteRunTime(Session, End.Task, RunTime->second);
     if (Succeeded)
       FailedAt_.erase(End.Task);
     else
-      FailedAt_[End.Task] = On.Info.Worker;
-    if (On.ConsecutiveFailures == DistrustThreshold && !Succeeded)
+      FailedAt_[End.Task] = Session.Info.Worker;
+    if (Session.ConsecutiveFailures == DistrustThreshold && !Succeeded)
       logEvent(LogLevel::Warning, Module, "worker_distrusted",
-               {{"worker", On.Info.Worker},
-                {"failed_in_row", On.ConsecutiveFailures},
-                {"runs", On.Runs.size()}});
-    JobChanges &Into = isTransient(End.Task.Job) ? Passing : Durable;
+               {{"worker", Session.Info.Worker},
+                {"consecutive_failures", Session.ConsecutiveFailures},
+                {"runs", Session.Runs.size()}});
+    JobChanges &Into = isTransient(End.Task.Job) ? TransientEnds : Durable;
     Into.Ended.push_back({End.Task, End.Run, End.Kind == EndKind::Done});
   }
-  WorkerId Worker = On.Info.Worker;
-  std::uint64_t Upto = On.LastBatchedEnd;
+  WorkerId Worker = Session.Info.Worker;
+  std::uint64_t Upto = Session.LastBatchedEnd;
   if (Durable.empty())
-    On.LastRecordedEnd = Upto;
+    Session.LastRecordedEnd = Upto;
   else
     recordDurably(Worker, Upto, std::move(Durable));
-  apply(Transient_, Passing);
-  committed(Passing);
+  apply(Transient_, TransientEnds);
+  onCommitted(TransientEnds);
 }
 
 void Scheduler::recordDurably(const WorkerId &Worker, std::uint64_t Upto,
@@ -68,24 +69,25 @@
     Ending_.insert(End.Task);
   Batches_->add(std::move(Changes),
                 [this, Alive = Alive_, Worker, Upto,
-                 Ends = std::move(Copy)](const Outcome<Done> &Was) {
-                  // Without an answer from the log this leader is none any
-                  // more; the next one finds the ends at the worker.
-                  if (!*Alive || !Was)
+                 Ends = std::move(Copy)](const Outcome<Done> &Result) {
+                  // A failed append means that the leadership was lost; the
+                  // next leader gets the ends from the worker.
+                  if (!*Alive || !Result)
                     return;
                   for (const TaskEnd &End : Ends.Ended)
                     Ending_.erase(End.Task);
-                  committed(Ends);
+                  onCommitted(Ends);
                   for (const TaskEnd &End : Ends.Ended)
-                    runRecorded(End.Task.Job);
+                    runRecordingCallbacks(End.Task.Job);
                   if (!*Alive)
                     return;
-                  WorkerSession *With = session(Worker);
-                  if (!With)
+                  WorkerSession *Session = session(Worker);
+                  if (!Session)
                     return;
-                  With->LastRecordedEnd = std::max(With->LastRecordedEnd, Upto);
-                  if (With->LastRecordedEnd == With->LastBatchedEnd)
-                    sendHold(*With);
+                  Session->LastRecordedEnd =
+                      std::max(Session->LastRecordedEnd, Upto);
+                  if (Session->LastRecordedEnd == Session->LastBatchedEnd)
+                    sendHold(*Session);
                 });
 }
 
--- a/src/jobs/internal/placement.cpp
+++ b/src/jobs/internal/placement.cpp
@@ -1,7 +1,7 @@
-//===- placement.cpp - Which task starts where ----------------------------===//
+//===- placement.cpp - Placement of tasks on workers ----------------------===//
 //
-// Takes waiting tasks in their order and gives each the worker that it fills
-// best, so that large tasks find room later.
+// Assigns waiting tasks in order, each to the worker that it leaves with the
+// least free capacity (best fit), so that room remains for large tasks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,39 +16,40 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// Waiting tasks that are looked at in one pass after the first that found no
-/// room: smaller ones may still fit.
+/// Waiting tasks that may be skipped in one pass because they fit no worker:
+/// smaller ones behind them may still fit.
 constexpr std::size_t MaxSkipped = 64;
 
-std::uint32_t runsOfStep(const WorkerSession &On, const TaskId &Like) {
+std::uint32_t runsOfStep(const WorkerSession &Session, const TaskId &Like) {
   std::uint32_t Count = 0;
-  for (const auto &[Task, Each] : On.Runs)
+  for (const auto &[Task, Each] : Session.Runs)
     if (Task.Job == Like.Job && Task.Step == Like.Step)
       ++Count;
   return Count;
 }
 
-/// Away from the rack that holds its data a task takes longer.
-bool isNearData(const WorkerSession &On, const StepSpec &Step) {
-  return Step.PreferredRack.empty() || On.Info.Rack == Step.PreferredRack;
+/// A task takes longer away from the rack that holds its data.
+bool isNearData(const WorkerSession &Session, const StepSpec &Step) {
+  return Step.PreferredRack.empty() || Session.Info.Rack == Step.PreferredRack;
 }
 
-bool suits(const WorkerSession &On, const StepSpec &Step, const TaskId &Id) {
-  if (!hasLabel(On.Info, Step.RequiredLabel))
+bool suits(const WorkerSession &Session, const StepSpec &Step,
+           const TaskId &Id) {
+  if (!hasLabel(Session.Info, Step.RequiredLabel))
     return false;
-  return Step.MaxPerWorker == 0 || runsOfStep(On, Id) < Step.MaxPerWorker;
+  return Step.MaxPerWorker == 0 || runsOfStep(Session, Id) < Step.MaxPerWorker;
 }
 
 } // namespace
 
 PoolLoad Scheduler::load() const {
   PoolLoad Result;
-  for (const auto &[Id, With] : Sessions_) {
-    if (!With.RunsKnown || With.Silent || With.Info.Draining ||
-        With.Evacuated || With.Unlisted)
+  for (const auto &[Id, Session] : Sessions_) {
+    if (!Session.RunsKnown || Session.Silent || Session.Info.Draining ||
+        Session.Evacuated || Session.Unlisted)
       continue;
-    Result.Capacity += With.Info.Capacity.CpuMillis;
-    Result.Used += With.Used.CpuMillis;
+    Result.Capacity += Session.Info.Capacity.CpuMillis;
+    Result.Used += Session.Used.CpuMillis;
   }
   if (Result.Capacity == 0)
     return Result;
@@ -66,7 +67,7 @@
   if (ScheduleDue_ || Queue_.empty())
     return;
   ScheduleDue_ = true;
-  Needs_.Timers.after(Duration::zero(), [this, Alive = Alive_] {
+  Deps_.Timers.after(Duration::zero(), [this, Alive = Alive_] {
     if (!*Alive)
       return;
     ScheduleDue_ = false;
@@ -75,23 +76,23 @@
 }
 
 void Scheduler::schedule() {
-  if (!Needs_.MayOrder())
+  if (!Deps_.OwnsPool())
     return;
-  if (!Needs_.Evacuated.empty())
+  if (!Deps_.Evacuated.empty())
     moveShutOut();
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   std::size_t Skipped = 0;
   for (auto It = Queue_.begin(); It != Queue_.end() && Skipped < MaxSkipped;) {
     if (!taskOf(It->second.Id)) {
-      // Its job has just ended; committed() has yet to hear of it.
+      // Its job has just ended, and onCommitted() has not been called yet.
       Ranks_.erase(It->second.Id);
       It = Queue_.erase(It);
       continue;
     }
-    WorkerSession *On = bestWorker(It->second, Now);
-    if (!On) {
+    WorkerSession *Session = bestWorker(It->second, Now);
+    if (!Session) {
       if (isSuspected(It->second.Id))
-        reserveFor(It->second, Now);
+        reserveWorkerFor(It->second, Now);
       ++Skipped;
       ++It;
       continue;
@@ -99,14 +100,14 @@
     WaitingTask Task = std::move(It->second);
     It = Queue_.erase(It);
     Ranks_.erase(Task.Id);
-    start(*On, Task);
+    start(*Session, Task);
   }
 }
 
 WorkerSession *Scheduler::bestWorker(const WaitingTask &Task, Time Now) {
   const StepSpec &Step = jobOf(Task.Id.Job)->Spec.Steps[Task.Id.Step];
   WorkerSession *Best = nullptr;
-  WorkerSession *Again = nullptr;
+  WorkerSession *Fallback = nullptr;
   std::uint32_t LeastLeft = UINT32_MAX;
   bool BestIsNear = false;
   bool Suspected = isSuspected(Task.Id);
@@ -119,15 +120,15 @@
         !suits(Each, Step, Task.Id) || !isTrusted(Each) ||
         !mayRunThere(Each, Suspected, Now))
       continue;
-    // Where a run of it has failed, takes long or may not arrive it goes only
-    // if nobody else has room.
+    // The worker on which it failed last, slow workers and those with an
+    // unanswered order are used only if no other one has room.
     bool Failed = FailedAt != FailedAt_.end() && FailedAt->second == Id;
     double Factor = paceFactorOf(Each, Now);
     bool Slow = Factor >= scheduling::SlowFactor;
-    if (Slow && (!Each.Runs.empty() || !isWorthIt(Task, Factor, Now)))
+    if (Slow && (!Each.Runs.empty() || !isUsefulAtPace(Task, Factor, Now)))
       continue;
     if (Failed || Slow || hasUnansweredStart(Each, Now)) {
-      Again = &Each;
+      Fallback = &Each;
       continue;
     }
     std::uint32_t Left = Each.Info.Capacity.CpuMillis - Each.Used.CpuMillis -
@@ -139,15 +140,15 @@
     BestIsNear = IsNear;
     LeastLeft = Left;
   }
-  return Best ? Best : Again;
+  return Best ? Best : Fallback;
 }
 
-bool Scheduler::isWorthIt(const WaitingTask &Task, double Factor,
-                          Time Now) const {
-  auto Found = Waiters_.find(Task.Id.Job);
-  if (Found == Waiters_.end())
+bool Scheduler::isUsefulAtPace(const WaitingTask &Task, double Factor,
+                               Time Now) const {
+  auto Found = ActiveTransients_.find(Task.Id.Job);
+  if (Found == ActiveTransients_.end())
     return true;
-  const Waiters &Job = Found->second;
+  const ActiveTransient &Job = Found->second;
   Duration Run = scheduling::scaled(Task.Estimate, Factor);
   return Job.Late ? scheduling::canMeetHardDeadline(Job.Useful, Run, Now)
                   : scheduling::canMeetSoftDeadline(Job.Useful, Run, Now);
--- a/src/jobs/internal/workerwatch.cpp
+++ b/src/jobs/internal/workerwatch.cpp
@@ -39,14 +39,14 @@
   return Found == Sessions_.end() ? nullptr : &Found->second;
 }
 
-void Scheduler::takeWorkers(const WorkerDirectory &Directory) {
-  Time Now = Needs_.Clock.now();
+void Scheduler::applyWorkers(const WorkerDirectory &Directory) {
+  Time Now = Deps_.Clock.now();
   for (const auto &[Id, Listed] : Directory.Workers) {
     auto [Entry, Inserted] = Sessions_.try_emplace(Id);
     WorkerSession &Session = Entry->second;
     bool StartsDraining = Listed.Info.Draining && !Session.Info.Draining;
     Session.Info = Listed.Info;
-    Session.Evacuated = Needs_.Evacuated.count(Listed.Info.DataCentre) != 0;
+    Session.Evacuated = Deps_.Evacuated.count(Listed.Info.DataCentre) != 0;
     if (StartsDraining)
       logEvent(LogLevel::Info, Module, "worker_drains", {{"worker", Id}});
     if (!Inserted)
@@ -71,11 +71,11 @@
 }
 
 void Scheduler::sendHold(WorkerSession &Session) {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   bool Overdue = isHoldOverdue(Session, Lease_, Now);
   bool Due =
       !Session.HoldInFlight || Overdue || isHoldTooLong(Session, Lease_, Now);
-  if (!Due || !Needs_.MayOrder())
+  if (!Due || !Deps_.OwnsPool())
     return;
   HoldOrder Order;
   Order.Token = Token_;
@@ -92,40 +92,40 @@
   Session.RequestedHoldWait = Order.Wait;
   Session.HoldResent = Overdue;
   ++Session.HoldSerial;
-  Needs_.Workers.hold({Session.Info.Worker, Session.Info.At}, Order,
-                      [this, Alive = Alive_, Worker = Session.Info.Worker,
-                       When = Sent{Now, Token_, Session.HoldSerial,
-                                   Order.LeaseUntil.has_value()}](
-                          const Outcome<HoldAnswer> &Answer) {
-                        if (*Alive)
-                          handleHoldAnswer(Worker, When, Answer);
-                      });
+  Deps_.Workers.hold({Session.Info.Worker, Session.Info.At}, Order,
+                     [this, Alive = Alive_, Worker = Session.Info.Worker,
+                      When = Sent{Now, Token_, Session.HoldSerial,
+                                  Order.LeaseUntil.has_value()}](
+                         const Outcome<HoldAnswer> &Answer) {
+                       if (*Alive)
+                         handleHoldAnswer(Worker, When, Answer);
+                     });
 }
 
 void Scheduler::queryRuns(WorkerSession &Session,
                           std::function<void()> OnAnswer) {
-  if (!Needs_.MayOrder())
+  if (!Deps_.OwnsPool())
     return;
   HoldOrder Order;
   Order.Token = Token_;
   Order.LastSeenEnd = Session.LastRecordedEnd;
-  Needs_.Workers.hold(
-      {Session.Info.Worker, Session.Info.At}, Order,
-      [this, Alive = Alive_, Worker = Session.Info.Worker,
-       Sent = Needs_.Clock.now(),
-       OnAnswer = std::move(OnAnswer)](const Outcome<HoldAnswer> &Answer) {
-        WorkerSession *Current = *Alive ? session(Worker) : nullptr;
-        if (!Current || !Answer)
-          return;
-        applyAnswer(*Current, Sent, *Answer);
-        if (OnAnswer)
-          OnAnswer();
-      });
+  Deps_.Workers.hold({Session.Info.Worker, Session.Info.At}, Order,
+                     [this, Alive = Alive_, Worker = Session.Info.Worker,
+                      Sent = Deps_.Clock.now(), OnAnswer = std::move(OnAnswer)](
+                         const Outcome<HoldAnswer> &Answer) {
+                       WorkerSession *Current =
+                           *Alive ? session(Worker) : nullptr;
+                       if (!Current || !Answer)
+                         return;
+                       applyAnswer(*Current, Sent, *Answer);
+                       if (OnAnswer)
+                         OnAnswer();
+                     });
 }
 
 void Scheduler::applyAnswer(WorkerSession &Session, Time Sent,
                             const HoldAnswer &Answer) {
-  HoldFindings Findings = applyHoldAnswer(Session, Answer, Needs_.Clock.now());
+  HoldFindings Findings = applyHoldAnswer(Session, Answer, Deps_.Clock.now());
   applyFindings(Session, Findings, !Session.RunsKnown || Session.Silent);
   if (!Findings.Current)
     return;
@@ -160,10 +160,10 @@
     return dropWorker(Worker, "another incarnation answered",
                       scheduling::WorkerLoss::Crashed);
   if (!Answer && Answer.error().Code == ErrorCode::Conflict)
-    return Needs_.Fenced(Order.Token);
+    return Deps_.OnFenced(Order.Token);
   if (!Answer && Answer.error().Code == ErrorCode::Timeout &&
       Session->LastAnsweredSentAt > Order.At)
-    scheduling::noteAnswerLost(Timing_, Needs_.Clock.now());
+    scheduling::noteAnswerLost(Timing_, Deps_.Clock.now());
   // The failure of a hold that was repeated says nothing about the worker.
   if (!Answer && !Latest)
     return;
@@ -177,7 +177,7 @@
     Session->Failure = lossOf(Answer.error());
     Session->RetryPause =
         std::clamp(Session->RetryPause * 2, FirstRetryPause, LongestRetryPause);
-    Session->RetryAt = Needs_.Clock.now() + Session->RetryPause;
+    Session->RetryAt = Deps_.Clock.now() + Session->RetryPause;
     return;
   }
   applyAnswer(*Session, Order.At, *Answer);
@@ -197,7 +197,7 @@
 }
 
 void Scheduler::sendHoldLater(const WorkerId &Worker) {
-  Needs_.Timers.after(RecordingPause, [this, Alive = Alive_, Worker] {
+  Deps_.Timers.after(RecordingPause, [this, Alive = Alive_, Worker] {
     WorkerSession *Session = *Alive ? session(Worker) : nullptr;
     if (Session)
       sendHold(*Session);
@@ -239,8 +239,8 @@
   // Repeats stop orders, which may have been lost.
   for (const auto &[Task, Each] : Session.Runs)
     if (Each.Stopping)
-      Needs_.Workers.stop({Session.Info.Worker, Session.Info.At},
-                          {Task, Each.Number, Token_});
+      Deps_.Workers.stop({Session.Info.Worker, Session.Info.At},
+                         {Task, Each.Number, Token_});
   if (!Findings.Ended.empty())
     recordEnds(Session, Findings);
 }
@@ -254,7 +254,7 @@
     return adoptRun(Session, Task);
   // The entry that waits for an unknown job submits it again.
   bool Kept = NewlyReachable || Orphans_.count(Task.Task) != 0;
-  if (!KnownJob && Kept && Needs_.Clock.now() < OrphansUntil_) {
+  if (!KnownJob && Kept && Deps_.Clock.now() < OrphansUntil_) {
     Orphans_[Task.Task] = {Session.Info.Worker, Task.Run, false};
     return;
   }
@@ -264,8 +264,8 @@
             {"index", Task.Task.Index},
             {"run", Task.Run.value()},
             {"worker", Session.Info.Worker}});
-  Needs_.Workers.stop({Session.Info.Worker, Session.Info.At},
-                      {Task.Task, Task.Run, Token_});
+  Deps_.Workers.stop({Session.Info.Worker, Session.Info.At},
+                     {Task.Task, Task.Run, Token_});
 }
 
 void Scheduler::adoptRun(WorkerSession &Session, const RunningTask &Task) {
@@ -280,7 +280,7 @@
     Queue_.erase(Rank->second);
     Ranks_.erase(Rank);
   }
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   const StepSpec &Step = TaskJob.Spec.Steps[Task.Task.Step];
   addRun(Session, Task.Task,
          Run{Task.Run, Step.Needs, Now, true, false, Session.Clock,
@@ -299,8 +299,8 @@
       if (Task.Job != Id)
         continue;
       Each.Stopping = true;
-      Needs_.Workers.stop({Worker, Session.Info.At},
-                          {Task, Each.Number, Token_});
+      Deps_.Workers.stop({Worker, Session.Info.At},
+                         {Task, Each.Number, Token_});
     }
 }
 
--- a/src/jobs/tests/schedulerfake.h
+++ b/src/jobs/tests/schedulerfake.h
@@ -1,7 +1,6 @@
 //===- schedulerfake.h - Schedulers with two workers ------------*- C++ -*-===//
 //
-// Owners that follow each other over one log and two workers, on a paused
-// clock.
+// Successive owners of two workers that share one log, on a manual clock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,19 +23,19 @@
 
   std::unique_ptr<Scheduler> owner(std::uint64_t Token, bool KnowsAllWorkers,
                                    const std::vector<WorkerInfo> &Known) {
-    SchedulerNeeds Needs{poolOfAll(),
-                         [] { return true; },
-                         [](FencingToken /*Token*/) {
-                           // A test sees the token where it matters.
-                         },
-                         [KnowsAllWorkers] { return KnowsAllWorkers; },
-                         &Log,
-                         Log.Jobs.store(),
-                         Evacuated,
-                         Calls,
-                         Clock,
-                         Timers,
-                         Measured};
+    SchedulerDependencies Needs{poolOfAll(),
+                                [] { return true; },
+                                [](FencingToken /*Token*/) {
+                                  // A test sees the token where it matters.
+                                },
+                                [KnowsAllWorkers] { return KnowsAllWorkers; },
+                                &Log,
+                                Log.Jobs.store(),
+                                Evacuated,
+                                Calls,
+                                Clock,
+                                Timers,
+                                Measured};
     auto Result = std::make_unique<Scheduler>(
         std::move(Needs), FencingToken(Token), LeaseSettings());
     announceTo(*Result, Known);
@@ -46,7 +45,7 @@
   void announceTo(Scheduler &Owner, const std::vector<WorkerInfo> &Known) {
     for (const WorkerInfo &Each : Known)
       announce(Directory, Each, Clock.now());
-    Owner.takeWorkers(Directory);
+    Owner.applyWorkers(Directory);
   }
 
   void run(Duration For) {
@@ -54,7 +53,7 @@
     for (Time End = Clock.now() + For; Clock.now() < End;) {
       Clock.advance(Step);
       while (Timers.runDue() != 0) {
-        // What a callback makes due at once runs in this millisecond too.
+        // Callbacks that become due at once run in the same millisecond.
       }
     }
   }
