--- a/src/jobs/internal/entryanswers.cpp
+++ b/src/jobs/internal/entryanswers.cpp
@@ -44,7 +44,7 @@
     What->MaybeTaken = true;
   if (Result) {
     if (PoolMember *In = findPool(What->Pool))
-      In->takeClaim(*Result, From);
+      In->applyClaim(*Result, From);
     if (Result->isMember("maybe_taken"))
       What->MaybeTaken = true;
   }
@@ -85,7 +85,7 @@
                             ? outcome(JobOutcome::Unknown, "the owner was lost")
                             : notTaken("no owner of the workers was found"));
   bool Elsewhere = What->MaybeTaken && What->TakenBy != In->view().Owner.At;
-  if (!Elsewhere || Now >= givenUpBy(In->view(), What->TakenBy, Now))
+  if (!Elsewhere || Now >= jobsStoppedBy(In->view(), What->TakenBy, Now))
     dispatch(What);
 }
 
--- a/src/jobs/internal/entryask.h
+++ b/src/jobs/internal/entryask.h
@@ -19,7 +19,7 @@
 
 /// How long a job may look for an owner: the time in which one is replaced.
 /// After it the caller is told to come back instead.
-constexpr Duration SearchTime = BeforeCallersReturn;
+constexpr Duration SearchTime = MaxStartDelay;
 /// What the caller is told to wait then.
 constexpr Duration RetryAfterNoOwner = std::chrono::seconds(1);
 
--- a/src/jobs/internal/entryjobs.h
+++ b/src/jobs/internal/entryjobs.h
@@ -114,43 +114,45 @@
   void tick();
   void pingAll();
   std::map<Endpoint, std::set<PoolName>> pingsDue(bool Follow) const;
-  void ping(const Endpoint &To, const std::set<PoolName> &About,
-            bool TellsSuspects = false);
-  void pinged(const Endpoint &To, Time Sent, const Outcome<Json::Value> &Reply);
+  void ping(const Endpoint &To, const std::set<PoolName> &PoolNames,
+            bool IncludeSuspects = false);
+  void handlePingReply(const Endpoint &To, Time Sent,
+                       const Outcome<Json::Value> &Result);
   void answerPing(const Json::Value &Params, const Reply &Answer);
-  void takePools(const Json::Value &From, const Endpoint &Speaker);
-  void tellCandidates(const PoolMember &Of);
-  /// Tasks that may crash their workers. All entries that ping hear of those
-  /// that this owner has seen and send them along with the job, so that the
-  /// pool's next owner knows of them; one that has just started hears of all.
-  /// Written anew every PingInterval at most, or if \p Fresh: dozens of entries
-  /// ping an owner that may know of hundreds of them.
-  const Json::Value &suspectsToTell(bool AskerIsYoung, bool Fresh);
-  /// Tells those that may own the pool next at once.
-  void tellSuspects(const PoolMember &Of);
-  void takeSuspects(const Json::Value &From);
+  void applyPoolStatements(const Json::Value &From, const Endpoint &Speaker);
+  void notifyCandidates(const PoolMember &Pool);
+  /// The tasks that may crash their workers, as an answer to a ping. The answer
+  /// names those that this owner has seen itself; the entries that receive it
+  /// pass them on with the job, so that the pool's next owner knows them. A
+  /// peer that has recently started gets all that are known here. The encoded
+  /// list is reused for PingInterval unless \p Fresh is set: dozens of entries
+  /// ping an owner that may know of hundreds of such tasks.
+  const Json::Value &suspectsToSend(bool PeerRecentlyStarted, bool Fresh);
+  /// Sends them at once to the entries that may own the pool next.
+  void sendSuspects(const PoolMember &Pool);
+  void applySuspects(const Json::Value &From);
   void addSuspects(Ask &What) const;
-  /// Gives up what waits here if this process has stood still.
-  void notePause(Time Now);
+  /// Gives up requests that were not sent yet if this process was paused.
+  void detectPause(Time Now);
   void followOwners();
-  /// Of owners that have just claimed their pools: ends what they wait for if
-  /// all entries have started anew.
-  void noteEarlierOwnersGone();
-  /// The age of this process while it is young.
-  std::optional<Duration> youngAge() const;
-  /// Of an entry that owns several pools: lets go of one for an entry that owns
-  /// none.
+  /// For pools that this entry has just claimed: ends the wait for earlier
+  /// owners and registrars if all entries have been restarted.
+  void noteEarlierOwnersEnded();
+  /// The age of this process if it has recently started.
+  std::optional<Duration> ageIfRecentlyStarted() const;
+  /// If this entry owns several pools, releases one of them to an entry that
+  /// owns none.
   void shareOwnership();
   /// Stops the jobs of entries that have been silent in two ticks in a row.
   void dropSilentOrigins(Time Now);
-  /// Takes this entry's own stamp that a message of \p From brings back.
+  /// Reads the time stamp of this entry that a message of \p From returns.
   void noteEcho(const Endpoint &From, const Json::Value &Params);
-  /// Whether no later ping of the same process has come. A cut holds pings up,
-  /// and what they say of owners is of the past when it heals.
-  bool isNewest(const Endpoint &From, const Json::Value &Params);
-  /// Takes the incarnation that a message of \p From carries.
+  /// Whether no later ping of the same process has arrived. A network partition
+  /// delays pings, and once it heals their claims of ownership are out of date.
+  bool isLatestPing(const Endpoint &From, const Json::Value &Params);
+  /// Reads the incarnation that a message of \p From carries.
   void noteIncarnation(const Endpoint &From, const Json::Value &Params);
-  /// Whether \p Owner can tell from the next message that it is heard here.
+  /// Whether the next message proves to \p Owner that this entry hears it.
   bool hasFreshEcho(const Endpoint &Owner) const;
   /// Whether a job may be sent to the pool's owner at once.
   bool isReachable(const PoolMember &In) const;
@@ -179,61 +181,66 @@
   bool tryElsewhere(const AskPtr &What, const JobAnswer &Refusal);
 
   // Jobs that are brought to pools of this entry (registration.cpp).
-  /// The pools of \p DataCentre among which its entries' jobs have their homes;
-  /// none where there is one pool of all workers.
+  /// The pools of \p DataCentre that serve as homes for the jobs of its
+  /// entries; empty if there is a single pool of all workers.
   const std::vector<PoolName> &homesIn(const DataCentreId &DataCentre) const;
   /// The home of a job of this entry's callers; empty without homes.
   PoolName homeOfJob(const JobId &Id) const;
-  /// Runs a job once its registrar agrees. \p In has a scheduler.
-  void takeIn(const IncomingPtr &New, PoolMember &In);
-  std::optional<Endpoint> registrarOf(const PoolName &Home);
-  /// Asks for all jobs that wait for the registrar of \p Home, unless a
-  /// question is under way: one that is slow is not asked more for it.
+  /// Runs a job once its registrar agrees. \p Member has a scheduler.
+  void admitJob(const IncomingPtr &Request, PoolMember &Member);
+  std::optional<Endpoint> findRegistrar(const PoolName &Name);
+  /// Sends the registrar of \p Home the claims of all jobs that wait for it,
+  /// unless a request is under way: a slow registrar gets no additional load.
   void askRegistrar(const PoolName &Home);
   /// The same where this entry is the registrar.
-  void askHere(const PoolName &Home);
-  void noteUnanswered(const PoolName &Home,
-                      const std::vector<Json::Value> &Releases);
-  void takeRegistrarAnswer(const PoolName &Home, std::uint64_t Serial,
-                           const std::vector<IncomingPtr> &Asked,
-                           const std::vector<Json::Value> &Releases,
-                           const Outcome<Json::Value> &Result);
-  void claimed(const IncomingPtr &What, const ClaimAnswer &Answer);
-  void runIncoming(const IncomingPtr &What, PoolMember &In);
-  /// Asks anew for jobs whose registrar has not answered, and gives up those
-  /// that have waited for too long.
-  void askRegistrarsAgain();
+  void claimLocally(const PoolName &Home);
+  void handleRegistrarFailure(const PoolName &Home,
+                              const std::vector<Json::Value> &Releases);
+  void handleRegistrarReply(const PoolName &Home, std::uint64_t Serial,
+                            const std::vector<IncomingPtr> &Asked,
+                            const std::vector<Json::Value> &Releases,
+                            const Outcome<Json::Value> &Result);
+  void handleClaimAnswer(const IncomingPtr &Request, const ClaimAnswer &Answer);
+  void runIncoming(const IncomingPtr &Request, PoolMember &Member);
+  /// Repeats the claims of jobs whose registrar has not answered, and gives up
+  /// the jobs that have waited for too long.
+  void retryRegistrars();
   /// Returns whether the job waited for its registrar.
   bool dropIncoming(const JobId &Id, const WaiterId &From);
   /// Whether the job is in the pool of this entry, or on its way there.
   bool holds(const JobId &Id, const PoolName &Pool) const;
-  /// A sending of the job has not run here and will not. The job may go to any
-  /// pool, unless another sending keeps it here.
-  void giveBack(const Incoming &Of);
-  static Claimant claimantOf(const Incoming &Of);
+  /// Releases the claim for a submission of a job that has not run here and
+  /// will not, so that the job may go to any pool. Does nothing while another
+  /// submission of the job is here.
+  void releaseClaim(const Incoming &Request);
+  static Claimant claimantOf(const Incoming &Request);
 
   // The registers of the homes that this entry owns (registrar.cpp).
   /// Null unless this entry owns \p Home.
   JobRegister *registerOf(const PoolName &Home);
-  /// Asks the owners of pools for what they have, for registers that are not
+  /// Asks the owners of pools which jobs they have, for registers that are not
   /// complete.
   void collectReports();
-  void askForReport(const PoolName &Home, JobRegister &Of, PoolMember &About);
-  void takeReport(const PoolName &Home, FencingToken Token,
-                  const PoolName &Pool, const Outcome<Json::Value> &Result);
-  void completeIfKnown(const PoolName &Home, JobRegister &Of);
+  void requestReport(const PoolName &Home, JobRegister &Register,
+                     PoolMember &Member);
+  void handleReportReply(const PoolName &Home, FencingToken Token,
+                         const PoolName &Pool,
+                         const Outcome<Json::Value> &Result);
+  void completeIfKnown(const PoolName &Home, JobRegister &Register);
   std::vector<JobId> jobsAtHome(const PoolName &Home,
-                                const Scheduler &Of) const;
+                                const Scheduler &PoolScheduler) const;
   void answerReport(const Json::Value &Params, const Reply &Answer);
-  /// An owner heeds no registrar of \p Home below this token. Whoever had it
-  /// may be gone: the owner of the home outbids it then.
-  void noteHeeded(const PoolName &Home, FencingToken Heeded);
+  /// Notes that an owner of a pool accepts no registrar of \p Home with a lower
+  /// token. The registrar with that token may be lost; then the owner of the
+  /// home has to take a higher one.
+  void noteAcceptedToken(const PoolName &Home, FencingToken AcceptedToken);
   /// The register if this entry may agree to claims by it; else null.
   JobRegister *completeRegisterOf(const PoolName &Home);
-  /// Nothing if it may not.
-  std::optional<ClaimAnswer> agreeTo(const PoolName &Home, const JobId &Id,
-                                     const Claimant &By);
-  void releaseHere(const PoolName &Home, const JobId &Id, const Claimant &By);
+  /// Nothing if this entry may not agree to claims.
+  std::optional<ClaimAnswer>
+  registerClaim(const PoolName &Home, const JobId &Id, const Claimant &Claim);
+  void releaseLocally(const PoolName &Home, const JobId &Id,
+                      const Claimant &Claim);
   void answerRegister(const Json::Value &Params, const Reply &Answer);
 
   // Transient jobs of this entry's callers (entryjobs.cpp).
@@ -326,74 +333,76 @@
   std::uint64_t PingRounds_ = 0;
   bool Stopping_ = false;
   /// The last tick, and the end of the last pause that was noticed.
-  std::optional<Time> TickedAt_;
+  std::optional<Time> LastTickAt_;
   std::optional<Time> PausedUntil_;
-  /// When this entry last let go of a pool for another entry.
-  Time SharedAt_;
+  /// When this entry last released a pool to another entry.
+  Time LastSharedAt_;
   std::map<Endpoint, std::size_t> PingsUnderWay_;
-  /// The clock of an entry in its last answer, to be sent back to it.
+  /// The time stamp in an entry's last answer, which is sent back to it, and
+  /// when the request for that answer was sent.
   struct Echo {
     std::uint64_t Stamp = 0;
-    Time Taken;
+    Time RequestSentAt;
   };
   std::map<Endpoint, Echo> Echoes_;
-  /// Of an owner: until when each entry has certainly heard it.
-  std::map<Endpoint, Time> Contacts_;
+  /// For an owner: the latest time at which each entry is known to have heard
+  /// it.
+  std::map<Endpoint, Time> ConfirmedUntil_;
   /// Entries with jobs here that were silent in the last tick.
   std::set<Endpoint> SilentOrigins_;
 
   /// When this process started.
   const Time StartedAt_;
-  /// Tells this process from earlier ones at its address.
+  /// Distinguishes this process from earlier ones at its address.
   const std::uint64_t Incarnation_;
   /// The process that was heard last at each entry's address.
   std::map<Endpoint, std::uint64_t> Incarnations_;
-  /// When that process sent the latest of its pings that has come, by its
-  /// clock.
+  /// When that process sent the latest of its pings that have arrived, by its
+  /// own clock.
   std::map<Endpoint, std::uint64_t> LatestPings_;
   /// Of the homes that this entry owns.
   std::map<PoolName, JobRegister> Registers_;
-  /// A registrar's question to the owner of a pool.
-  struct ReportQuestion {
-    /// The token of the registrar.
-    FencingToken Of;
-    Time NotBefore;
-    /// Until it is asked again.
+  /// A registrar's request for a report of the owner of a pool.
+  struct ReportRequest {
+    FencingToken RegistrarToken;
+    Time RetryAt;
+    /// The delay before the request is repeated; doubles each time.
     Duration Pause{0};
   };
   /// By home and pool.
-  std::map<std::pair<PoolName, PoolName>, ReportQuestion> ReportsAsked_;
-  /// The highest token of a registrar of each home that this entry has answered
-  /// or been answered by; it heeds no lower one.
-  std::map<PoolName, FencingToken> Heeded_;
+  std::map<std::pair<PoolName, PoolName>, ReportRequest> ReportRequests_;
+  /// The highest token of a registrar of each home that this entry has
+  /// exchanged messages with; registrars with a lower token are not accepted.
+  std::map<PoolName, FencingToken> AcceptedTokens_;
   /// Jobs that wait for their registrars.
   std::set<IncomingPtr, ByArrival> Incoming_;
-  /// An owner's questions to the registrar of one home.
-  struct Questions {
-    /// Where the last one was sent, and whether its answer is missing.
+  /// An owner's requests to the registrar of one home.
+  struct RegistrarRequests {
+    /// Where the last request was sent, and whether its answer is outstanding.
     Endpoint At;
     bool UnderWay = false;
     std::uint64_t Serial = 0;
-    /// After one that failed; and since when all have.
-    Time NotBefore;
-    std::optional<Time> FailsSince;
-    /// Claims to be given back with the next one.
+    /// When to repeat a request that failed, and since when all have failed.
+    Time RetryAt;
+    std::optional<Time> FailingSince;
+    /// Claims to be released with the next request.
     std::vector<Json::Value> Releases;
-    /// Of a home in another data centre: its registrar, as an entry there
-    /// knows.
-    std::optional<Endpoint> Told;
+    /// For a home in another data centre: its registrar as named by an entry of
+    /// that data centre.
+    std::optional<Endpoint> ReportedRegistrar;
   };
-  std::map<PoolName, Questions> Questions_;
+  std::map<PoolName, RegistrarRequests> RegistrarRequests_;
   std::uint64_t LastIncoming_ = 0;
   std::uint64_t LastQuestion_ = 0;
-  /// Tasks that may crash their workers, as owners have told.
+  /// Tasks that may crash their workers, as reported by owners.
   SuspectsByJob Suspects_;
-  /// What was written last of them, for usual and for young askers.
-  struct WrittenSuspects {
-    std::optional<Time> At;
-    Json::Value Written;
+  /// The list as it was last encoded: for peers that have been running for
+  /// some time, and for peers that have recently started.
+  struct EncodedSuspects {
+    std::optional<Time> EncodedAt;
+    Json::Value Encoded;
   };
-  std::array<WrittenSuspects, 2> SuspectsTold_;
+  std::array<EncodedSuspects, 2> EncodedSuspects_;
   /// Jobs of this entry's callers that have not been answered.
   std::set<AskPtr> Asks_;
   std::uint64_t LastSerial_ = 0;
--- a/src/jobs/internal/entrysync.cpp
+++ b/src/jobs/internal/entrysync.cpp
@@ -252,7 +252,7 @@
                      Candidates.end();
     std::size_t Number = Count[In->dataCentre()]++;
     if (!Candidate || Alone) {
-      In->takeCandidates({}, Candidate);
+      In->applyCandidates({}, Candidate);
       continue;
     }
     std::set<Endpoint> Busy;
@@ -260,7 +260,7 @@
       for (const auto &[Other, Owner] : Owners)
         if (Other != Name)
           Busy.insert(Owner);
-    In->takeCandidates(ranksFor(Number, Candidates, Busy), Candidate);
+    In->applyCandidates(ranksFor(Number, Candidates, Busy), Candidate);
   }
 }
 
@@ -269,7 +269,7 @@
   if (Told.isObject())
     for (const std::string &Name : Told.getMemberNames())
       if (PoolMember *In = findPool(PoolName(Name)))
-        In->takeReport(Told[Name]);
+        In->applyControlReport(Told[Name]);
   if (!Result.isMember("owners_change"))
     return;
   // What is not told anew is as it was.
--- a/src/jobs/internal/entryworkers.cpp
+++ b/src/jobs/internal/entryworkers.cpp
@@ -99,12 +99,12 @@
   std::unique_ptr<PoolMember> &Place = Pools_[Name];
   if (Place)
     return *Place;
-  PoolMemberNeeds Needs{
+  PoolMemberDependencies Needs{
       Needs_.Workers, Needs_.Clock,
       Needs_.Timers,  Needs_.Measured,
       Lease_,         Peers_,
       Evacuated_,     KnowsAllWorkers_,
-      Suspects_,      [this](const PoolMember &Of) { tellSuspects(Of); }};
+      Suspects_,      [this](const PoolMember &Of) { sendSuspects(Of); }};
   Place = std::make_unique<PoolMember>(Needs, Name, DataCentre, Self_);
   Place->view().Stopping = Stopping_;
   RanksDue_ = true;
--- a/src/jobs/internal/intake.cpp
+++ b/src/jobs/internal/intake.cpp
@@ -209,7 +209,7 @@
 }
 
 bool Scheduler::isStale(const Waiters &Job, Time Now) {
-  return Now >= Job.Since - Job.Age + BeforeCallersReturn;
+  return Now >= Job.Since - Job.Age + MaxStartDelay;
 }
 
 bool Scheduler::isHopeless(const Waiters &Job, Time Now) {
--- a/src/jobs/internal/jobmessages.cpp
+++ b/src/jobs/internal/jobmessages.cpp
@@ -80,21 +80,21 @@
   return Result;
 }
 
-Json::Value write(const RegistrarWord &Value) {
+Json::Value write(const RegistrarReply &Value) {
   Json::Value Result(Json::objectValue);
   Result["token"] = Json::UInt64(Value.Token.value());
   for (const ClaimAnswer &Each : Value.Answers) {
     Json::Value Answer(Json::objectValue);
     Answer["pool"] = Each.Pool.value();
-    if (Each.HadByOther)
+    if (Each.HadOtherOwner)
       Answer["had_by_other"] = true;
     Result["answers"].append(std::move(Answer));
   }
   return Result;
 }
 
-RetVal<RegistrarWord> readRegistrarWord(const Json::Value &From) {
-  RegistrarWord Result;
+RetVal<RegistrarReply> readRegistrarWord(const Json::Value &From) {
+  RegistrarReply Result;
   BOOST_LEAF_AUTO(Token, json::readUint(From, "token"));
   Result.Token = FencingToken(Token);
   for (const Json::Value &Each : From["answers"]) {
--- a/src/jobs/internal/jobmessages.h
+++ b/src/jobs/internal/jobmessages.h
@@ -120,8 +120,8 @@
 RetVal<std::vector<std::pair<JobId, Claimant>>>
 readClaims(const Json::Value &From);
 
-Json::Value write(const RegistrarWord &Value);
-RetVal<RegistrarWord> readRegistrarWord(const Json::Value &From);
+Json::Value write(const RegistrarReply &Value);
+RetVal<RegistrarReply> readRegistrarWord(const Json::Value &From);
 
 /// Reads the address in the field \p Name.
 RetVal<Endpoint> readEndpoint(const Json::Value &From, const char *Name);
--- a/src/jobs/internal/jobregister.cpp
+++ b/src/jobs/internal/jobregister.cpp
@@ -14,19 +14,19 @@
 
 /// An owner remembers for so long how a job has ended, and callers that send it
 /// again meanwhile are told. None waits as long for a job that runs.
-constexpr Duration ClaimLasts = std::chrono::seconds(10);
+constexpr Duration ClaimLifetime = std::chrono::seconds(10);
 /// What a lost owner had ends with its lease, see leaseBound().
-constexpr Duration LeasesOver = std::chrono::milliseconds(1070);
+constexpr Duration MaxLeaseTime = std::chrono::milliseconds(1070);
 /// An owner of this data centre that has not reported by then is out of reach.
 /// Callers come back after 1.3 s, and what its entries had there before is
 /// over.
-constexpr Duration NearOver = std::chrono::seconds(3);
+constexpr Duration NearReportTimeout = std::chrono::seconds(3);
 /// An owner of another data centre that cannot be asked does not hear this
-/// one's entries either: it misses them after OwnerSilence and stops their
+/// one's entries either: it misses them after OriginTimeout and stops their
 /// jobs, and what it cannot stop ends with its lease.
-constexpr Duration FarOver = OwnerSilence + LeasesOver;
+constexpr Duration FarReportTimeout = OriginTimeout + MaxLeaseTime;
 /// One that does not know yet what runs in its pool is waited for longer.
-constexpr Duration NotYetLasts = std::chrono::milliseconds(500);
+constexpr Duration NotReadyExtension = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -38,27 +38,27 @@
 }
 
 JobRegister::JobRegister(FencingToken Token, Time Now)
-    : Token_(Token), Since_(Now), NearOverAt_(Now + NearOver),
-      FarOverAt_(Now + FarOver) {}
+    : Token_(Token), Since_(Now), NearDeadline_(Now + NearReportTimeout),
+      FarDeadline_(Now + FarReportTimeout) {}
 
-void JobRegister::noteEntriesGone(Time At) {
-  NearGoneAt_ = At + LeasesOver;
-  FarGoneAt_ = At + FarOver;
+void JobRegister::noteEntriesEnded(Time At) {
+  NearEndedBy_ = At + MaxLeaseTime;
+  FarEndedBy_ = At + FarReportTimeout;
 }
 
-void JobRegister::noteNotYet(Time Now) {
-  NearOverAt_ = std::max(NearOverAt_, Now + NotYetLasts);
-  FarOverAt_ = std::max(FarOverAt_, Now + NotYetLasts);
+void JobRegister::noteNotReady(Time Now) {
+  NearDeadline_ = std::max(NearDeadline_, Now + NotReadyExtension);
+  FarDeadline_ = std::max(FarDeadline_, Now + NotReadyExtension);
 }
 
-void JobRegister::takeReport(const Claimant &By, const std::vector<JobId> &Jobs,
-                             Time Now) {
-  Reported_.insert(By.Pool);
+void JobRegister::applyReport(const Claimant &Owner,
+                              const std::vector<JobId> &Jobs, Time Now) {
+  Reported_.insert(Owner.Pool);
   for (const JobId &Id : Jobs) {
     auto Known = Claims_.find(Id);
-    if (Known == Claims_.end() || (Known->second.By.Pool == By.Pool &&
-                                   Known->second.By.Token <= By.Token))
-      keep(Id, By, Now);
+    if (Known == Claims_.end() || (Known->second.Owner.Pool == Owner.Pool &&
+                                   Known->second.Owner.Token <= Owner.Token))
+      store(Id, Owner, Now);
   }
 }
 
@@ -67,52 +67,56 @@
                      [&](const PoolName &Each) { return hasReported(Each); });
 }
 
-bool JobRegister::completeWith(const std::vector<PoolName> &Near,
-                               const std::vector<PoolName> &Far, Time Now) {
-  bool NearKnown = Now >= NearOverAt_ || (NearGoneAt_ && Now >= *NearGoneAt_) ||
-                   haveReported(Near);
-  bool FarKnown = Now >= FarOverAt_ || (FarGoneAt_ && Now >= *FarGoneAt_) ||
+bool JobRegister::updateCompleteness(const std::vector<PoolName> &Near,
+                                     const std::vector<PoolName> &Far,
+                                     Time Now) {
+  bool NearKnown = Now >= NearDeadline_ ||
+                   (NearEndedBy_ && Now >= *NearEndedBy_) || haveReported(Near);
+  bool FarKnown = Now >= FarDeadline_ || (FarEndedBy_ && Now >= *FarEndedBy_) ||
                   haveReported(Far);
   bool Before = std::exchange(Complete_, Complete_ || (NearKnown && FarKnown));
   return Complete_ && !Before;
 }
 
-ClaimAnswer JobRegister::claim(const JobId &Id, const Claimant &By, Time Now) {
-  forgetOld(Now);
+ClaimAnswer JobRegister::claim(const JobId &Id, const Claimant &Owner,
+                               Time Now) {
+  removeExpired(Now);
   auto Found = Claims_.find(Id);
   if (Found == Claims_.end()) {
-    keep(Id, By, Now);
-    return {By.Pool, false};
+    store(Id, Owner, Now);
+    return {Owner.Pool, false};
   }
-  Claimant Known = Found->second.By;
-  if (Known.Pool != By.Pool)
-    return {Known.Pool, false};
-  if (By.Token >= Known.Token)
-    keep(Id, By, Now);
-  return {By.Pool, Known.Token != By.Token};
+  Claimant Current = Found->second.Owner;
+  if (Current.Pool != Owner.Pool)
+    return {Current.Pool, false};
+  if (Owner.Token >= Current.Token)
+    store(Id, Owner, Now);
+  return {Owner.Pool, Current.Token != Owner.Token};
 }
 
-void JobRegister::release(const JobId &Id, const Claimant &By) {
+void JobRegister::release(const JobId &Id, const Claimant &Owner) {
   auto Found = Claims_.find(Id);
   if (Found == Claims_.end())
     return;
-  const Claimant &Known = Found->second.By;
-  if (Known.Pool == By.Pool && Known.Token == By.Token &&
-      Known.Question <= By.Question)
+  const Claimant &Current = Found->second.Owner;
+  if (Current.Pool == Owner.Pool && Current.Token == Owner.Token &&
+      Current.Question <= Owner.Question)
     Claims_.erase(Found);
 }
 
-void JobRegister::keep(const JobId &Id, const Claimant &By, Time Now) {
-  Claims_[Id] = {By, Now};
-  Ages_.emplace_back(Now, Id);
+void JobRegister::store(const JobId &Id, const Claimant &Owner, Time Now) {
+  Claims_[Id] = {Owner, Now};
+  ClaimsByAge_.emplace_back(Now, Id);
 }
 
-void JobRegister::forgetOld(Time Now) {
-  while (!Ages_.empty() && Now - Ages_.front().first >= ClaimLasts) {
-    auto Found = Claims_.find(Ages_.front().second);
-    if (Found != Claims_.end() && Found->second.Since == Ages_.front().first)
+void JobRegister::removeExpired(Time Now) {
+  while (!ClaimsByAge_.empty() &&
+         Now - ClaimsByAge_.front().first >= ClaimLifetime) {
+    auto Found = Claims_.find(ClaimsByAge_.front().second);
+    if (Found != Claims_.end() &&
+        Found->second.Since == ClaimsByAge_.front().first)
       Claims_.erase(Found);
-    Ages_.pop_front();
+    ClaimsByAge_.pop_front();
   }
 }
 
--- a/src/jobs/internal/jobregister.h
+++ b/src/jobs/internal/jobregister.h
@@ -48,14 +48,14 @@
   /// The pool that the job goes to.
   PoolName Pool;
   /// Another owner of that pool had the job: tasks of it may run there.
-  bool HadByOther = false;
+  bool HadOtherOwner = false;
 
   bool operator==(const ClaimAnswer &) const = default;
 };
 
 /// The answers to a question for some jobs, in their order, with the
 /// registrar's token.
-struct RegistrarWord {
+struct RegistrarReply {
   FencingToken Token;
   std::vector<ClaimAnswer> Answers;
 };
@@ -70,9 +70,10 @@
 
   /// Takes the jobs that the owner \p By has, with its last question so far. It
   /// heeds no registrar with a lower token from now on.
-  void takeReport(const Claimant &By, const std::vector<JobId> &Jobs, Time Now);
+  void applyReport(const Claimant &Owner, const std::vector<JobId> &Jobs,
+                   Time Now);
   /// An owner does not know yet what runs in its pool, but it will.
-  void noteNotYet(Time Now);
+  void noteNotReady(Time Now);
   bool hasReported(const PoolName &Pool) const {
     return Reported_.count(Pool) != 0;
   }
@@ -81,46 +82,46 @@
   /// It is once the owners of \p Near, the pools of this data centre, and of
   /// \p Far, the others, have reported, or what they had is over. Returns
   /// whether it has just become so.
-  bool completeWith(const std::vector<PoolName> &Near,
-                    const std::vector<PoolName> &Far, Time Now);
+  bool updateCompleteness(const std::vector<PoolName> &Near,
+                          const std::vector<PoolName> &Far, Time Now);
 
   /// Notes that what entries of this data centre had before it was lost at \p
   /// At the latest.
-  void noteEntriesGone(Time At);
+  void noteEntriesEnded(Time At);
 
   /// Says where \p Id goes: to the pool of \p By, unless another one has it.
-  ClaimAnswer claim(const JobId &Id, const Claimant &By, Time Now);
+  ClaimAnswer claim(const JobId &Id, const Claimant &Owner, Time Now);
   /// The owner that asked \p By has not run the job and will not: it may go to
   /// any pool, unless that owner, or a later one, has asked again since.
-  void release(const JobId &Id, const Claimant &By);
+  void release(const JobId &Id, const Claimant &Owner);
 
   std::size_t size() const { return Claims_.size(); }
 
 private:
   struct Claim {
-    Claimant By;
+    Claimant Owner;
     Time Since;
   };
 
-  void keep(const JobId &Id, const Claimant &By, Time Now);
-  void forgetOld(Time Now);
+  void store(const JobId &Id, const Claimant &Owner, Time Now);
+  void removeExpired(Time Now);
   bool haveReported(const std::vector<PoolName> &Pools) const;
 
   const FencingToken Token_;
   const Time Since_;
   /// When what owners of this data centre had is over, reported or not, and
   /// what those of others had.
-  Time NearOverAt_;
-  Time FarOverAt_;
+  Time NearDeadline_;
+  Time FarDeadline_;
   /// The same where all entries of this data centre have started anew.
-  std::optional<Time> NearGoneAt_;
-  std::optional<Time> FarGoneAt_;
+  std::optional<Time> NearEndedBy_;
+  std::optional<Time> FarEndedBy_;
   std::set<PoolName> Reported_;
   bool Complete_ = false;
   std::unordered_map<JobId, Claim> Claims_;
   /// In the order of their times. Those that were released or renewed since are
   /// still in it.
-  std::deque<std::pair<Time, JobId>> Ages_;
+  std::deque<std::pair<Time, JobId>> ClaimsByAge_;
 };
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/ownercalls.cpp
+++ b/src/jobs/internal/ownercalls.cpp
@@ -29,10 +29,10 @@
   auto Origin = attempt([&] { return wire::readEndpoint(Params, "origin"); });
   if (!Job || !Origin)
     return Answer(Error{ErrorCode::InvalidArgument, "malformed message"});
-  PoolMember *In = poolOfMessage(Params);
+  PoolMember *Member = poolOfMessage(Params);
   WaiterId From = waiterOf(Params, *Origin);
-  if (!dropIncoming(JobId(*Job), From) && In && In->scheduler())
-    In->scheduler()->dropWaiter(JobId(*Job), From);
+  if (!dropIncoming(JobId(*Job), From) && Member && Member->scheduler())
+    Member->scheduler()->dropWaiter(JobId(*Job), From);
   Answer(Json::Value(Json::objectValue));
 }
 
@@ -42,16 +42,17 @@
   auto Left = attempt([&] { return json::readUint(Params, "left_us"); });
   if (!Wanted || !Origin || !Left)
     return Answer(Error{ErrorCode::InvalidArgument, "malformed message"});
-  auto NotOwner = [this](const PoolMember *In, bool MaybeTaken) {
-    Json::Value Result = In ? In->writeClaim() : Json::Value(Json::objectValue);
+  auto NotOwner = [this](const PoolMember *Member, bool MaybeTaken) {
+    Json::Value Result =
+        Member ? Member->writeClaim() : Json::Value(Json::objectValue);
     Result["not_owner"] = true;
     if (MaybeTaken)
       Result["maybe_taken"] = true;
     return Result;
   };
-  PoolMember *In = poolOfMessage(Params);
-  if (!In || !In->scheduler() || !ownsPool(In->view()))
-    return Answer(NotOwner(In, false));
+  PoolMember *Member = poolOfMessage(Params);
+  if (!Member || !Member->scheduler() || !ownsPool(Member->view()))
+    return Answer(NotOwner(Member, false));
   noteIncarnation(*Origin, Params);
   noteEcho(*Origin, Params);
   // As while this VM stood still.
@@ -60,35 +61,37 @@
              {{"job", Wanted->Id},
               {"origin", Origin->text()},
               {"serial", wire::numberOf(Params, "serial")}});
-    return Answer(NotOwner(In, false));
+    return Answer(NotOwner(Member, false));
   }
-  auto New = std::make_shared<Incoming>();
-  New->Wanted = std::move(*Wanted);
-  New->How = {
+  auto Request = std::make_shared<Incoming>();
+  Request->Wanted = std::move(*Wanted);
+  Request->How = {
       waiterOf(Params, *Origin),
       Duration(static_cast<Duration::rep>(wire::numberOf(Params, "age_us"))),
       Duration(static_cast<Duration::rep>(*Left)),
       wire::isSet(Params, "maybe_taken")};
   if (Params["home"].isString())
-    New->Home = PoolName(Params["home"].asString());
+    Request->Home = PoolName(Params["home"].asString());
   if (auto At =
           attempt([&] { return wire::readEndpoint(Params, "registrar"); }))
-    New->Registrar = *At;
-  New->Ended = [Answer, NotOwner, In](const Outcome<TransientEnd> &Ended) {
+    Request->Registrar = *At;
+  Request->Ended = [Answer, NotOwner,
+                    Member](const Outcome<TransientEnd> &Ended) {
     if (Ended)
       return Answer(wire::write(answerOfEnd(*Ended)));
-    Answer(NotOwner(In, Ended.error().Code != ErrorCode::Refused));
+    Answer(NotOwner(Member, Ended.error().Code != ErrorCode::Refused));
   };
-  New->Elsewhere = [Answer](const PoolName &Pool) {
+  Request->Elsewhere = [Answer](const PoolName &Pool) {
     Json::Value Result(Json::objectValue);
     Result["registered"] = Pool.value();
     Answer(std::move(Result));
   };
-  takeIn(New, *In);
+  admitJob(Request, *Member);
 }
 
 bool EntryJobs::isFresh(const Endpoint &Origin) {
-  return Origin == Self_ || Needs_.Clock.now() - Contacts_[Origin] < FreshEcho;
+  return Origin == Self_ ||
+         Needs_.Clock.now() - ConfirmedUntil_[Origin] < MaxEchoAge;
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/peertable.cpp
+++ b/src/jobs/internal/peertable.cpp
@@ -12,10 +12,10 @@
 void noteAnswer(PeerTable &Table, const Endpoint &Peer, bool Stopping,
                 Time Sent) {
   PeerHealth &Health = Table.Peers[Peer];
-  if (Health.Answered && *Health.Answered > Sent)
+  if (Health.AnsweredAt && *Health.AnsweredAt > Sent)
     return;
-  Health.Answered = Sent;
-  Health.Refused.reset();
+  Health.AnsweredAt = Sent;
+  Health.RefusedAt.reset();
   Health.Stopping = Stopping;
 }
 
@@ -28,13 +28,13 @@
 }
 
 void noteRefused(PeerTable &Table, const Endpoint &Peer, Time Now) {
-  Table.Peers[Peer].Refused = Now;
+  Table.Peers[Peer].RefusedAt = Now;
 }
 
 void noteHeard(PeerTable &Table, const Endpoint &Peer, bool Stopping,
                Time Now) {
   PeerHealth &Health = Table.Peers[Peer];
-  Health.Heard = Now;
+  Health.HeardAt = Now;
   Health.Stopping = Stopping;
 }
 
--- a/src/jobs/internal/peertable.h
+++ b/src/jobs/internal/peertable.h
@@ -19,12 +19,12 @@
 /// What is known of another entry.
 struct PeerHealth {
   /// When the request was sent that it answered last.
-  std::optional<Time> Answered;
+  std::optional<Time> AnsweredAt;
   /// When it last sent something.
-  std::optional<Time> Heard;
+  std::optional<Time> HeardAt;
   /// When it last refused a connection, if it has not answered since: its
   /// process is gone, or something between refuses in its name.
-  std::optional<Time> Refused;
+  std::optional<Time> RefusedAt;
   /// It says that it is stopping, and releases all pools.
   bool Stopping = false;
   /// Of a process that was young when it answered: it had started by then, and
--- a/src/jobs/internal/poolmember.cpp
+++ b/src/jobs/internal/poolmember.cpp
@@ -18,22 +18,22 @@
 constexpr const char *Module = "jobs";
 
 /// What an owner said of its load is worth nothing after this time.
-constexpr Duration LoadLasts = std::chrono::seconds(2);
+constexpr Duration LoadValidity = std::chrono::seconds(2);
 /// What the owner itself said goes before what control says of it for so long.
-constexpr Duration LoadIsFresh = std::chrono::milliseconds(500);
+constexpr Duration DirectLoadValidity = std::chrono::milliseconds(500);
 
 /// A candidate takes over what was let go for it within two pings; else this
 /// entry may claim it again.
-constexpr Duration GoneFor = std::chrono::seconds(1);
+constexpr Duration ReleaseTimeout = std::chrono::seconds(1);
 
 /// The time in which entries hand the jobs of an earlier owner in again.
-constexpr Duration KeepOrphans = std::chrono::milliseconds(1000);
+constexpr Duration OrphanGracePeriod = std::chrono::milliseconds(1000);
 
 /// How long a new owner leaves alone what runs of unknown jobs, for the entries
 /// to hand these in again. Behind an owner that was silent for long, little
 /// that runs is left; it is stopped at once.
-Duration keepOrphans(const OwnerLoss &Loss) {
-  return Loss.LetGo || Loss.Refused ? KeepOrphans : Duration(0);
+Duration orphanGracePeriod(const OwnerLoss &Loss) {
+  return Loss.Released || Loss.RefusedAt ? OrphanGracePeriod : Duration(0);
 }
 
 RetVal<OwnerClaim> readClaim(const Json::Value &From, const char *At,
@@ -57,15 +57,15 @@
 
 } // namespace
 
-PoolMember::PoolMember(PoolMemberNeeds Needs, PoolName Name,
+PoolMember::PoolMember(PoolMemberDependencies Deps, PoolName Name,
                        DataCentreId DataCentre, const Endpoint &Self)
-    : Needs_(std::move(Needs)), Name_(std::move(Name)),
-      DataCentre_(std::move(DataCentre)), View_(Self, Needs_.Peers) {}
+    : Deps_(std::move(Deps)), Name_(std::move(Name)),
+      DataCentre_(std::move(DataCentre)), View_(Self, Deps_.Peers) {}
 
-void PoolMember::takeCandidates(const std::vector<Endpoint> &Ranked,
-                                bool Candidate) {
+void PoolMember::applyCandidates(const std::vector<Endpoint> &Ranked,
+                                 bool Candidate) {
   Candidate_ = Candidate;
-  takeEntries(View_, Ranked, Needs_.Clock.now());
+  applyEntries(View_, Ranked, Deps_.Clock.now());
   // The pool's data centre has entries of its own again, which do not ask this
   // one and have an owner among themselves.
   if (!Candidate_ && View_.Owner.At == View_.Self)
@@ -73,45 +73,45 @@
 }
 
 bool PoolMember::isOwned() const {
-  return isOwnerAlive(View_, Needs_.Clock.now());
+  return isOwnerAlive(View_, Deps_.Clock.now());
 }
 
 bool PoolMember::claimIfDue() {
   if (!Candidate_)
     return false;
   auto Claim =
-      jobs::claimIfDue(View_, Needs_.Clock.now(), Needs_.Clock.wallNow());
+      jobs::claimIfDue(View_, Deps_.Clock.now(), Deps_.Clock.wallNow());
   if (!Claim)
     return false;
-  ClaimedAt_ = Needs_.Clock.now();
+  ClaimedAt_ = Deps_.Clock.now();
   logEvent(LogLevel::Info, Module, "pool_claimed",
            {{"pool", Name_},
             {"token", Claim->Token.value()},
             {"candidates", View_.Ranked.size()},
             {"earlier", View_.Earlier.At.text()},
-            {"let_go", earlierOwnerLoss(View_, Needs_.Clock.now()).LetGo}});
+            {"let_go", earlierOwnerLoss(View_, Deps_.Clock.now()).Released}});
   return true;
 }
 
-void PoolMember::letGo() {
-  LetGoAt_ = Needs_.Clock.now();
+void PoolMember::releaseOwnership() {
+  ReleasingSince_ = Deps_.Clock.now();
   View_.Stopping = true;
 }
 
-void PoolMember::endLettingGo() {
-  if (!LetGoAt_)
+void PoolMember::endRelease() {
+  if (!ReleasingSince_)
     return;
   bool Taken =
       View_.Owner.Token != FencingToken(0) && View_.Owner.At != View_.Self;
-  if (!Taken && Needs_.Clock.now() - *LetGoAt_ < GoneFor)
+  if (!Taken && Deps_.Clock.now() - *ReleasingSince_ < ReleaseTimeout)
     return;
-  LetGoAt_.reset();
+  ReleasingSince_.reset();
   View_.Stopping = false;
 }
 
 bool PoolMember::followOwner(bool Disengaged) {
-  endLettingGo();
-  if (outbidSilentRival(View_, Needs_.Clock.now(), Needs_.Clock.wallNow()))
+  endRelease();
+  if (outbidSilentRival(View_, Deps_.Clock.now(), Deps_.Clock.wallNow()))
     logEvent(LogLevel::Info, Module, "pool_rival_outbid",
              {{"pool", Name_}, {"token", View_.Owner.Token.value()}});
   bool Owns = ownsPool(View_) && !Disengaged;
@@ -120,10 +120,10 @@
     logEvent(LogLevel::Info, Module, "pool_token_raised",
              {{"pool", Name_}, {"token", View_.Owner.Token.value()}});
     if (Name_ == poolOfAll())
-      Scheduler_->raiseToken(View_.Owner.Token, MetOther_);
+      Scheduler_->raiseToken(View_.Owner.Token, RaisedForRival_);
     else
       startScheduler(true);
-    MetOther_ = false;
+    RaisedForRival_ = false;
   }
   if (Scheduler_ && !Owns) {
     logEvent(LogLevel::Warning, Module, "pool_let_go",
@@ -132,7 +132,7 @@
               {"owner", View_.Owner.At.text()},
               {"owner_token", View_.Owner.Token.value()},
               {"settled", Scheduler_->isSettled()}});
-    EndedSettled_ = Scheduler_->isSettled();
+    WasSettledAtEnd_ = Scheduler_->isSettled();
     Scheduler_.reset();
   }
   if (Owns && !Scheduler_)
@@ -140,49 +140,49 @@
   return Raised;
 }
 
-std::optional<Time> PoolMember::earlierOwnersGoneBy(Time Started) const {
-  auto Others = jobs::earlierOwnersGoneBy(View_, ClaimedAt_);
+std::optional<Time> PoolMember::earlierOwnersEndedBy(Time Started) const {
+  auto Others = jobs::earlierOwnersEndedBy(View_, ClaimedAt_);
   return Others ? std::optional(std::max(Started, *Others)) : std::nullopt;
 }
 
 std::vector<Endpoint> PoolMember::candidatesToHear() const {
   if (!Scheduler_ || Scheduler_->hasTakenOver() ||
-      View_.First != View_.Owner.Token)
+      View_.FirstClaim != View_.Owner.Token)
     return {};
   return unansweredSince(View_, ClaimedAt_);
 }
 
-void PoolMember::startScheduler(bool Again) {
-  SchedulerNeeds Needs{Name_,
-                       [this] { return ownsPool(View_); },
-                       [this](FencingToken Token) {
-                         noteFenced(View_, Token, Needs_.Clock.now());
-                       },
-                       [this] { return Needs_.KnowsAllWorkers; },
-                       nullptr,
-                       NoDurableJobs_,
-                       Needs_.Evacuated,
-                       Needs_.Workers,
-                       Needs_.Clock,
-                       Needs_.Timers,
-                       Needs_.Measured,
-                       [this] { Needs_.SuspectsFound(*this); }};
+void PoolMember::startScheduler(bool Restarted) {
+  SchedulerNeeds Deps{Name_,
+                      [this] { return ownsPool(View_); },
+                      [this](FencingToken Token) {
+                        noteFenced(View_, Token, Deps_.Clock.now());
+                      },
+                      [this] { return Deps_.KnowsAllWorkers; },
+                      nullptr,
+                      NoDurableJobs_,
+                      Deps_.Evacuated,
+                      Deps_.Workers,
+                      Deps_.Clock,
+                      Deps_.Timers,
+                      Deps_.Measured,
+                      [this] { Deps_.SuspectsFound(*this); }};
   // Else the jobs that other entries bring would be counted anew.
-  SuspectsByJob Suspects = Needs_.Suspects;
+  SuspectsByJob Suspects = Deps_.Suspects;
   if (Scheduler_)
     merge(Suspects, Scheduler_->suspects());
   Scheduler_.reset();
-  LeaseSettings Lease = Needs_.Lease;
+  LeaseSettings Lease = Deps_.Lease;
   OwnerLoss Loss =
-      Again ? OwnerLoss() : earlierOwnerLoss(View_, Needs_.Clock.now());
-  Lease.EarlierOwner = Loss.LetGo ? Duration(0) : OwnerSilence;
-  Lease.KeepOrphans = Again ? KeepOrphans : keepOrphans(Loss);
+      Restarted ? OwnerLoss() : earlierOwnerLoss(View_, Deps_.Clock.now());
+  Lease.EarlierOwner = Loss.Released ? Duration(0) : OriginTimeout;
+  Lease.KeepOrphans = Restarted ? OrphanGracePeriod : orphanGracePeriod(Loss);
   // What an owner has not found itself may be of a job that has gone elsewhere
   // since its owner died. Its lease must come to an end.
-  Lease.RenewOrphans = Loss.LetGo && Loss.Settled;
-  ToldLoad_ = SteadyPoolLoad();
+  Lease.RenewOrphans = Loss.Released && Loss.Settled;
+  ReportedLoad_ = SmoothedPoolLoad();
   Scheduler_ =
-      std::make_unique<Scheduler>(std::move(Needs), View_.Owner.Token, Lease);
+      std::make_unique<Scheduler>(std::move(Deps), View_.Owner.Token, Lease);
   Scheduler_->takeSuspects(Suspects);
   Scheduler_->takeWorkers(Directory_);
 }
@@ -202,11 +202,11 @@
   Result["owner"] = View_.Owner.At.text();
   Result["token"] = Json::UInt64(View_.Owner.Token.value());
   Result["highest"] = Json::UInt64(View_.Highest.value());
-  if (View_.First != FencingToken(0))
-    Result["first"] = Json::UInt64(View_.First.value());
-  if (LetGoAt_)
+  if (View_.FirstClaim != FencingToken(0))
+    Result["first"] = Json::UInt64(View_.FirstClaim.value());
+  if (ReleasingSince_)
     Result["lets_go"] = true;
-  if (Scheduler_ ? Scheduler_->isSettled() : EndedSettled_)
+  if (Scheduler_ ? Scheduler_->isSettled() : WasSettledAtEnd_)
     Result["settled"] = true;
   if (Scheduler_ && ownsPool(View_)) {
     Result["workers"] = Json::UInt64(Scheduler_->workers());
@@ -225,20 +225,20 @@
   Result["token"] = Json::UInt64(View_.Owner.Token.value());
   if (Scheduler_)
     Result["load"] =
-        write(steady(ToldLoad_, Scheduler_->load(), Needs_.Clock.now()));
+        write(smoothLoad(ReportedLoad_, Scheduler_->load(), Deps_.Clock.now()));
   return Result;
 }
 
-OwnerClaim PoolMember::takeClaim(const Json::Value &From,
-                                 const Endpoint &Speaker) {
+OwnerClaim PoolMember::applyClaim(const Json::Value &From,
+                                  const Endpoint &Speaker) {
   auto Highest = attempt([&] { return json::readUintOr(From, "highest", 0); });
   if (Highest)
     noteHighest(View_, FencingToken(*Highest));
   auto Rival = attempt([&] { return readClaim(From, "rival", "rival_token"); });
   if (Rival)
-    noteClaim(View_, *Rival, Endpoint(), Needs_.Clock.now());
+    noteClaim(View_, *Rival, Endpoint(), Deps_.Clock.now());
   auto Claim = attempt([&] { return readClaim(From, "owner", "token"); });
-  if (Claim && noteClaim(View_, *Claim, Speaker, Needs_.Clock.now()))
+  if (Claim && noteClaim(View_, *Claim, Speaker, Deps_.Clock.now()))
     logEvent(LogLevel::Info, Module, "pool_owner",
              {{"pool", Name_},
               {"owner", Claim->At.text()},
@@ -246,24 +246,26 @@
   return Claim ? *Claim : OwnerClaim();
 }
 
-void PoolMember::takeWord(const Json::Value &From, const Endpoint &Speaker) {
-  OwnerClaim Word = takeClaim(From, Speaker);
-  noteOwnWord(View_, Speaker, Word);
+void PoolMember::applyPeerStatement(const Json::Value &From,
+                                    const Endpoint &Speaker) {
+  OwnerClaim Claim = applyClaim(From, Speaker);
+  noteOwnStatement(View_, Speaker, Claim);
   noteSettled(View_, Speaker, wire::isSet(From, "settled"));
-  noteFirst(View_, Speaker, FencingToken(wire::numberOf(From, "first")));
-  noteLetsGo(View_, Speaker, wire::isSet(From, "lets_go"), Needs_.Clock.now());
-  meetOwner(From, Word, Speaker);
+  noteFirstClaim(View_, Speaker, FencingToken(wire::numberOf(From, "first")));
+  noteReleasing(View_, Speaker, wire::isSet(From, "lets_go"),
+                Deps_.Clock.now());
+  handleRivalOwner(From, Claim, Speaker);
   if (Speaker != View_.Owner.At)
     return;
-  takeLoad(From);
-  LoadHeard_ = Needs_.Clock.now();
+  applyLoad(From);
+  LoadHeardAt_ = Deps_.Clock.now();
 }
 
 bool PoolMember::needsReports() const {
   return !Candidate_ || !watchesClosely(View_);
 }
 
-void PoolMember::takeReport(const Json::Value &From) {
+void PoolMember::applyControlReport(const Json::Value &From) {
   auto Claim = attempt([&] { return readClaim(From, "owner", "token"); });
   ReportedOwner_.reset();
   if (!From.isObject() || !Claim || Claim->Token == FencingToken(0))
@@ -275,51 +277,52 @@
   // whatever its token: jobs are safe at whoever takes them.
   if (!Candidate_ && !isOwned())
     View_.LastClaim = FencingToken(0);
-  takeClaim(From, Endpoint());
+  applyClaim(From, Endpoint());
   confirmReport();
-  if (View_.Owner.At == Claim->At && !hearsLoad())
-    takeLoad(From);
+  if (View_.Owner.At == Claim->At && !hasFreshLoad())
+    applyLoad(From);
 }
 
 void PoolMember::confirmReport() {
   if (!ReportedOwner_ || !needsReports() || View_.Owner.At != *ReportedOwner_)
     return;
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   noteReport(View_, *ReportedOwner_, Now);
-  if (hearsLoad() || !LoadTold_)
+  if (hasFreshLoad() || !LoadUpdatedAt_)
     return;
-  LoadTold_ = Now;
-  SentSince_ = scheduling::CoreTime();
+  LoadUpdatedAt_ = Now;
+  SentSinceUpdate_ = scheduling::CoreTime();
 }
 
-bool PoolMember::hearsLoad() const {
-  return LoadHeard_ && Needs_.Clock.now() - *LoadHeard_ < LoadIsFresh;
+bool PoolMember::hasFreshLoad() const {
+  return LoadHeardAt_ && Deps_.Clock.now() - *LoadHeardAt_ < DirectLoadValidity;
 }
 
-void PoolMember::takeLoad(const Json::Value &From) {
+void PoolMember::applyLoad(const Json::Value &From) {
   if (!From["load"].isObject())
     return;
   Load_ = readPoolLoad(From["load"]);
-  LoadTold_ = Needs_.Clock.now();
-  SentSince_ = scheduling::CoreTime();
+  LoadUpdatedAt_ = Deps_.Clock.now();
+  SentSinceUpdate_ = scheduling::CoreTime();
 }
 
-void PoolMember::meetOwner(const Json::Value &From, const OwnerClaim &Word,
-                           const Endpoint &Speaker) {
-  if (Word.At != Speaker || Word.Token == FencingToken(0) || !Scheduler_ ||
+void PoolMember::handleRivalOwner(const Json::Value &From,
+                                  const OwnerClaim &Claim,
+                                  const Endpoint &Speaker) {
+  if (Claim.At != Speaker || Claim.Token == FencingToken(0) || !Scheduler_ ||
       !ownsPool(View_) || !From["workers"].isUInt64())
     return;
-  std::uint64_t Own = Scheduler_->workers();
-  std::uint64_t Others = From["workers"].asUInt64();
-  bool Changed = meetRival(View_, Word, Own, Others, Needs_.Clock.now(),
-                           Needs_.Clock.wallNow());
-  MetOther_ = MetOther_ || Changed;
+  std::uint64_t OwnWorkers = Scheduler_->workers();
+  std::uint64_t OtherWorkers = From["workers"].asUInt64();
+  bool Changed = resolveRival(View_, Claim, OwnWorkers, OtherWorkers,
+                              Deps_.Clock.now(), Deps_.Clock.wallNow());
+  RaisedForRival_ = RaisedForRival_ || Changed;
   if (Changed)
     logEvent(LogLevel::Info, Module, "pool_owners_met",
              {{"pool", Name_},
               {"other", Speaker.text()},
-              {"workers", Own},
-              {"others_workers", Others},
+              {"workers", OwnWorkers},
+              {"others_workers", OtherWorkers},
               {"owner", View_.Owner.At.text()}});
 }
 
@@ -332,11 +335,12 @@
       return std::nullopt;
     return jobs::expectedWait(Own, Wanted.Priority, Cores);
   }
-  if (!LoadTold_ || Needs_.Clock.now() - *LoadTold_ >= LoadLasts ||
+  if (!LoadUpdatedAt_ || Deps_.Clock.now() - *LoadUpdatedAt_ >= LoadValidity ||
       Load_.Capacity == 0)
     return std::nullopt;
   return jobs::expectedWait(Load_, Wanted.Priority, Cores) +
-         scheduling::timeFor(SentSince_, static_cast<double>(Load_.Capacity));
+         scheduling::timeFor(SentSinceUpdate_,
+                             static_cast<double>(Load_.Capacity));
 }
 
 double PoolMember::use() const {
@@ -346,6 +350,8 @@
   return static_cast<double>(Now.Used) / static_cast<double>(Now.Capacity);
 }
 
-void PoolMember::noteSent(const Job &Sent) { SentSince_ += workOf(Sent.Spec); }
+void PoolMember::noteSent(const Job &Sent) {
+  SentSinceUpdate_ += workOf(Sent.Spec);
+}
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/poolmember.h
+++ b/src/jobs/internal/poolmember.h
@@ -17,7 +17,7 @@
 class PoolMember;
 
 /// What a member works with; all of it outlives the member.
-struct PoolMemberNeeds {
+struct PoolMemberDependencies {
   IWorkerCalls &Workers;
   const IClock &Clock;
   ITimers &Timers;
@@ -36,8 +36,8 @@
 
 class PoolMember {
 public:
-  PoolMember(PoolMemberNeeds Needs, PoolName Name, DataCentreId DataCentre,
-             const Endpoint &Self);
+  PoolMember(PoolMemberDependencies Deps, PoolName Name,
+             DataCentreId DataCentre, const Endpoint &Self);
 
   const PoolName &name() const { return Name_; }
   const DataCentreId &dataCentre() const { return DataCentre_; }
@@ -53,7 +53,7 @@
   bool isCandidate() const { return Candidate_; }
   /// Takes those who may own the pool, by rank. An empty list means that none
   /// is known.
-  void takeCandidates(const std::vector<Endpoint> &Ranked, bool Candidate);
+  void applyCandidates(const std::vector<Endpoint> &Ranked, bool Candidate);
   /// The pool has an owner that was heard lately.
   bool isOwned() const;
 
@@ -64,13 +64,13 @@
   bool followOwner(bool Disengaged);
   /// Of an owner: by when all processes that may have owned the pool before
   /// this one were gone, if that is known. \p Started: when this process did.
-  std::optional<Time> earlierOwnersGoneBy(Time Started) const;
+  std::optional<Time> earlierOwnersEndedBy(Time Started) const;
   /// The candidates whose answers that takes. Nobody once the owner knows what
   /// runs.
   std::vector<Endpoint> candidatesToHear() const;
   /// Lets go of the pool for the next candidate to take over, with what runs.
   /// Another claim, or GoneFor, ends it.
-  void letGo();
+  void releaseOwnership();
   /// Hands the directory to the scheduler.
   void workersChanged();
   void evacuationsChanged();
@@ -80,12 +80,12 @@
   /// told anew only when it has changed by much.
   Json::Value writeReport();
   /// Takes and returns the claim that a message of \p Speaker carries.
-  OwnerClaim takeClaim(const Json::Value &From, const Endpoint &Speaker);
+  OwnerClaim applyClaim(const Json::Value &From, const Endpoint &Speaker);
   /// Takes all that a peer's own message says about the pool.
-  void takeWord(const Json::Value &From, const Endpoint &Speaker);
+  void applyPeerStatement(const Json::Value &From, const Endpoint &Speaker);
   /// Takes what control says of the pool's owner, where this entry does not
   /// watch it itself.
-  void takeReport(const Json::Value &From);
+  void applyControlReport(const Json::Value &From);
   /// Notes that the last report still holds, or that nobody vouches for it.
   void confirmReport();
   void dropReport() { ReportedOwner_.reset(); }
@@ -98,25 +98,25 @@
   /// Notes that work was sent to the owner.
   void noteSent(const Job &Sent);
   /// The owner did not answer: no job is sent before its load is told again.
-  void distrustLoad() { LoadTold_.reset(); }
+  void discardLoad() { LoadUpdatedAt_.reset(); }
 
 private:
   /// Ends letting go once another owns the pool, or nobody wants to.
-  void endLettingGo();
-  void meetOwner(const Json::Value &From, const OwnerClaim &Word,
-                 const Endpoint &Speaker);
+  void endRelease();
+  void handleRivalOwner(const Json::Value &From, const OwnerClaim &Claim,
+                        const Endpoint &Speaker);
   /// Whether control's word about the owner is of use here.
   bool needsReports() const;
   /// Whether the owner itself has told its load lately.
-  bool hearsLoad() const;
-  void takeLoad(const Json::Value &From);
+  bool hasFreshLoad() const;
+  void applyLoad(const Json::Value &From);
   /// \p Again: this entry has owned the pool before, and another owner has been
   /// there. Where there are several pools that one may have given jobs back
   /// which went elsewhere since, so that this one begins anew: each job comes
   /// again by its entry, and is agreed with its registrar.
-  void startScheduler(bool Again);
+  void startScheduler(bool Restarted);
 
-  const PoolMemberNeeds Needs_;
+  const PoolMemberDependencies Deps_;
   const PoolName Name_;
   const DataCentreId DataCentre_;
   PoolView View_;
@@ -127,22 +127,22 @@
   /// When this entry claimed the pool last.
   Time ClaimedAt_;
   /// The load in the owner's reports.
-  SteadyPoolLoad ToldLoad_;
+  SmoothedPoolLoad ReportedLoad_;
   /// Since when this owner has let go for another candidate.
-  std::optional<Time> LetGoAt_;
+  std::optional<Time> ReleasingSince_;
   /// Whether the scheduler knew all that runs when it ended.
-  bool EndedSettled_ = false;
+  bool WasSettledAtEnd_ = false;
   /// The claim went up because another owner was met, which lets go.
-  bool MetOther_ = false;
+  bool RaisedForRival_ = false;
   /// The owner's last word.
   PoolLoad Load_;
-  std::optional<Time> LoadTold_;
+  std::optional<Time> LoadUpdatedAt_;
   /// The owner that control has told of, until it is silent there.
   std::optional<Endpoint> ReportedOwner_;
   /// When the load was last heard from the owner itself.
-  std::optional<Time> LoadHeard_;
+  std::optional<Time> LoadHeardAt_;
   /// The work that was sent since.
-  scheduling::CoreTime SentSince_;
+  scheduling::CoreTime SentSinceUpdate_;
 };
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/poolowner.cpp
+++ b/src/jobs/internal/poolowner.cpp
@@ -19,14 +19,14 @@
 constexpr Duration TickInterval = std::chrono::milliseconds(25);
 /// An entry gives pools to others this often at most: the time in which all
 /// have heard of the last change.
-constexpr Duration SharePause = std::chrono::seconds(1);
+constexpr Duration MinShareInterval = std::chrono::seconds(1);
 constexpr Duration PingTimeout = std::chrono::milliseconds(300);
 /// Pings to one entry under way at a time. One that is lost must not keep the
 /// next from being sent.
-constexpr std::size_t MaxPings = 3;
+constexpr std::size_t MaxPingsInFlight = 3;
 /// A process tells its age for so long: several times what a new owner may have
 /// to wait for.
-constexpr Duration YoungFor = std::chrono::seconds(10);
+constexpr Duration RecentlyStartedPeriod = std::chrono::seconds(10);
 
 /// The owner's clock as a number that comes back to it.
 std::uint64_t stampOf(Time At) {
@@ -35,107 +35,109 @@
 
 } // namespace
 
-void EntryJobs::notePause(Time Now) {
-  Duration Gap = TickedAt_ ? Now - *TickedAt_ : Duration(0);
-  TickedAt_ = Now;
+void EntryJobs::detectPause(Time Now) {
+  Duration Gap = LastTickAt_ ? Now - *LastTickAt_ : Duration(0);
+  LastTickAt_ = Now;
   if (Gap < LongPause)
     return;
   PausedUntil_ = Now;
   // Workers may have come meanwhile.
   KnowsAllWorkers_ = false;
   std::vector<AskPtr> Unsent;
-  for (const AskPtr &What : Asks_)
-    if (!What->SentTo)
-      Unsent.push_back(What);
+  for (const AskPtr &Request : Asks_)
+    if (!Request->SentTo)
+      Unsent.push_back(Request);
   logEvent(LogLevel::Warning, Module, "stood_still",
            {{"pause_us", Gap.count()}, {"given_up", Unsent.size()}});
-  for (const AskPtr &What : Unsent)
-    giveUpAfterPause(What);
+  for (const AskPtr &Request : Unsent)
+    giveUpAfterPause(Request);
 }
 
 void EntryJobs::tick() {
   Time Now = Needs_.Clock.now();
-  notePause(Now);
-  for (auto &[Name, In] : Pools_)
-    if (!ControlSchedules_ && In->claimIfDue())
-      tellCandidates(*In);
+  detectPause(Now);
+  for (auto &[Name, Member] : Pools_)
+    if (!ControlSchedules_ && Member->claimIfDue())
+      notifyCandidates(*Member);
   followOwners();
-  noteEarlierOwnersGone();
+  noteEarlierOwnersEnded();
   dropSilentOrigins(Now);
   collectReports();
-  askRegistrarsAgain();
+  retryRegistrars();
   redispatchParked();
   Needs_.Timers.after(TickInterval, [this] { tick(); });
 }
 
 void EntryJobs::followOwners() {
-  for (auto &[Name, In] : Pools_)
-    if (In->followOwner(ControlSchedules_))
-      tellCandidates(*In);
+  for (auto &[Name, Member] : Pools_)
+    if (Member->followOwner(ControlSchedules_))
+      notifyCandidates(*Member);
 }
 
-std::optional<Duration> EntryJobs::youngAge() const {
+std::optional<Duration> EntryJobs::ageIfRecentlyStarted() const {
   Duration Age = Needs_.Clock.now() - StartedAt_;
-  return Age < YoungFor ? std::optional(Age) : std::nullopt;
+  return Age < RecentlyStartedPeriod ? std::optional(Age) : std::nullopt;
 }
 
-void EntryJobs::noteEarlierOwnersGone() {
-  if (!youngAge())
+void EntryJobs::noteEarlierOwnersEnded() {
+  if (!ageIfRecentlyStarted())
     return;
-  for (auto &[Name, In] : Pools_) {
-    if (!In->scheduler())
+  for (auto &[Name, Member] : Pools_) {
+    if (!Member->scheduler())
       continue;
-    auto Gone = In->earlierOwnersGoneBy(StartedAt_);
-    if (!Gone)
+    auto EndedBy = Member->earlierOwnersEndedBy(StartedAt_);
+    if (!EndedBy)
       continue;
-    In->scheduler()->noteEarlierOwnersGone(*Gone);
-    if (JobRegister *Of = registerOf(Name))
-      Of->noteEntriesGone(*Gone);
+    Member->scheduler()->noteEarlierOwnersGone(*EndedBy);
+    if (JobRegister *Register = registerOf(Name))
+      Register->noteEntriesEnded(*EndedBy);
   }
 }
 
 void EntryJobs::shareOwnership() {
   Time Now = Needs_.Clock.now();
-  if (Plan_ == PoolPlan::One || Stopping_ || Now - SharedAt_ < SharePause)
+  if (Plan_ == PoolPlan::One || Stopping_ ||
+      Now - LastSharedAt_ < MinShareInterval)
     return;
   std::set<Endpoint> Owners;
-  std::vector<PoolMember *> Own;
-  for (const auto &[Name, In] : Pools_) {
-    if (In->isOwned())
-      Owners.insert(In->view().Owner.At);
-    if (In->scheduler())
-      Own.push_back(In.get());
+  std::vector<PoolMember *> OwnPools;
+  for (const auto &[Name, Member] : Pools_) {
+    if (Member->isOwned())
+      Owners.insert(Member->view().Owner.At);
+    if (Member->scheduler())
+      OwnPools.push_back(Member.get());
   }
-  if (Own.size() < 2)
+  if (OwnPools.size() < 2)
     return;
-  PoolMember &Given = *Own.back();
+  PoolMember &Shared = *OwnPools.back();
   // The next owner must be able to count on what this one knows.
-  if (!Given.scheduler()->isSettled())
+  if (!Shared.scheduler()->isSettled())
     return;
   // The first candidate that is alive takes it over.
-  for (const Endpoint &Next : Given.view().Ranked) {
-    if (Next == Self_ || !wasAliveLately(Given.view(), Next, Now))
+  for (const Endpoint &Next : Shared.view().Ranked) {
+    if (Next == Self_ || !wasAliveLately(Shared.view(), Next, Now))
       continue;
     if (Owners.count(Next) != 0)
       return;
-    SharedAt_ = Now;
-    logEvent(
-        LogLevel::Info, Module, "pool_shared",
-        {{"pool", Given.name()}, {"to", Next.text()}, {"own", Own.size()}});
-    Given.letGo();
-    Given.followOwner(ControlSchedules_);
-    return tellCandidates(Given);
+    LastSharedAt_ = Now;
+    logEvent(LogLevel::Info, Module, "pool_shared",
+             {{"pool", Shared.name()},
+              {"to", Next.text()},
+              {"own", OwnPools.size()}});
+    Shared.releaseOwnership();
+    Shared.followOwner(ControlSchedules_);
+    return notifyCandidates(Shared);
   }
 }
 
 void EntryJobs::dropSilentOrigins(Time Now) {
   std::set<Endpoint> Silent;
-  for (auto &[Name, In] : Pools_) {
-    Scheduler *Of = In->scheduler();
-    if (!Of)
+  for (auto &[Name, Member] : Pools_) {
+    Scheduler *PoolScheduler = Member->scheduler();
+    if (!PoolScheduler)
       continue;
-    for (const Endpoint &Origin : Of->origins()) {
-      if (Origin == Self_ || Now - Contacts_[Origin] < OwnerSilence)
+    for (const Endpoint &Origin : PoolScheduler->origins()) {
+      if (Origin == Self_ || Now - ConfirmedUntil_[Origin] < OriginTimeout)
         continue;
       Silent.insert(Origin);
       // After a pause of this process its pings are still to be read.
@@ -144,8 +146,8 @@
       logEvent(LogLevel::Warning, Module, "entry_silent",
                {{"entry", Origin.text()},
                 {"pool", Name},
-                {"heard_us", (Now - Contacts_[Origin]).count()}});
-      Of->dropOrigin(Origin);
+                {"heard_us", (Now - ConfirmedUntil_[Origin]).count()}});
+      PoolScheduler->dropOrigin(Origin);
     }
   }
   SilentOrigins_ = std::move(Silent);
@@ -154,23 +156,23 @@
 std::map<Endpoint, std::set<PoolName>> EntryJobs::pingsDue(bool Follow) const {
   Time Now = Needs_.Clock.now();
   std::map<Endpoint, std::set<PoolName>> Due;
-  for (const auto &[Name, In] : Pools_) {
-    if (!In->isCandidate())
+  for (const auto &[Name, Member] : Pools_) {
+    if (!Member->isCandidate())
       continue;
-    for (const Endpoint &To : pingTargets(In->view(), Now))
+    for (const Endpoint &To : pingTargets(Member->view(), Now))
       Due[To].insert(Name);
     if (!Follow)
       continue;
-    if (youngAge())
-      for (const Endpoint &To : In->candidatesToHear())
+    if (ageIfRecentlyStarted())
+      for (const Endpoint &To : Member->candidatesToHear())
         Due[To].insert(Name);
-    for (const Endpoint &To : followTargets(In->view(), Now))
+    for (const Endpoint &To : followTargets(Member->view(), Now))
       Due[To].insert(Name);
   }
   // An owner elsewhere must hear that it is heard while it has jobs from here.
-  for (const AskPtr &What : Asks_)
-    if (What->SentTo && What->SentTo->At != Self_)
-      Due[What->SentTo->At].insert(What->Pool);
+  for (const AskPtr &Request : Asks_)
+    if (Request->SentTo && Request->SentTo->At != Self_)
+      Due[Request->SentTo->At].insert(Request->Pool);
   return Due;
 }
 
@@ -178,45 +180,46 @@
   rankCandidates();
   shareOwnership();
   bool Follow = PingRounds_++ % (FollowInterval / PingInterval) == 0;
-  for (const auto &[To, About] : pingsDue(Follow))
-    ping(To, About);
+  for (const auto &[To, PoolNames] : pingsDue(Follow))
+    ping(To, PoolNames);
   Needs_.Timers.after(PingInterval, [this] { pingAll(); });
 }
 
-void EntryJobs::tellCandidates(const PoolMember &Of) {
+void EntryJobs::notifyCandidates(const PoolMember &Pool) {
   // All hear of the claim at once, so that they hand their jobs in again.
-  for (const Endpoint &Entry : Of.view().Ranked)
+  for (const Endpoint &Entry : Pool.view().Ranked)
     if (Entry != Self_)
-      ping(Entry, {Of.name()});
+      ping(Entry, {Pool.name()});
 }
 
-void EntryJobs::ping(const Endpoint &To, const std::set<PoolName> &About,
-                     bool TellsSuspects) {
+void EntryJobs::ping(const Endpoint &To, const std::set<PoolName> &PoolNames,
+                     bool IncludeSuspects) {
   std::size_t &UnderWay = PingsUnderWay_[To];
-  if (UnderWay >= MaxPings)
+  if (UnderWay >= MaxPingsInFlight)
     return;
   ++UnderWay;
   Json::Value Params(Json::objectValue);
-  for (const PoolName &Name : About)
-    if (const PoolMember *In = findPool(Name))
-      Params["pools"][Name.value()] = In->writeClaim();
+  for (const PoolName &Name : PoolNames)
+    if (const PoolMember *Member = findPool(Name))
+      Params["pools"][Name.value()] = Member->writeClaim();
   Params["from"] = Self_.text();
   Params["incarnation"] = Json::UInt64(Incarnation_);
   Params["echo_us"] = Json::UInt64(Echoes_[To].Stamp);
   Params["sent_us"] = Json::UInt64(stampOf(Needs_.Clock.now()));
   Params["stopping"] = Stopping_;
-  if (youngAge())
+  if (ageIfRecentlyStarted())
     Params["young"] = true;
-  if (TellsSuspects)
-    Params["suspects"] = suspectsToTell(false, false);
-  Needs_.Client.call(
-      To, wire::method::Ping, std::move(Params), PingTimeout,
-      [this, To, Sent = Needs_.Clock.now()](
-          const Outcome<Json::Value> &Result) { pinged(To, Sent, Result); });
+  if (IncludeSuspects)
+    Params["suspects"] = suspectsToSend(false, false);
+  Needs_.Client.call(To, wire::method::Ping, std::move(Params), PingTimeout,
+                     [this, To, Sent = Needs_.Clock.now()](
+                         const Outcome<Json::Value> &Result) {
+                       handlePingReply(To, Sent, Result);
+                     });
 }
 
-void EntryJobs::pinged(const Endpoint &To, Time Sent,
-                       const Outcome<Json::Value> &Result) {
+void EntryJobs::handlePingReply(const Endpoint &To, Time Sent,
+                                const Outcome<Json::Value> &Result) {
   --PingsUnderWay_[To];
   if (!Result) {
     // A refusal within the time of a round trip is the VM's own: no process
@@ -233,8 +236,8 @@
   noteAge(Peers_, To, Age, Needs_.Clock.now());
   if ((*Result)["stamp_us"].isUInt64())
     Echoes_[To] = {(*Result)["stamp_us"].asUInt64(), Sent};
-  takePools(*Result, To);
-  takeSuspects((*Result)["suspects"]);
+  applyPoolStatements(*Result, To);
+  applySuspects((*Result)["suspects"]);
   bool Owner =
       std::any_of(Pools_.begin(), Pools_.end(), [&](const auto &Entry) {
         return Entry.second->view().Owner.At == To;
@@ -243,49 +246,51 @@
     redispatchParked();
 }
 
-const Json::Value &EntryJobs::suspectsToTell(bool AskerIsYoung, bool Fresh) {
-  WrittenSuspects &Told = SuspectsTold_[AskerIsYoung];
+const Json::Value &EntryJobs::suspectsToSend(bool PeerRecentlyStarted,
+                                             bool Fresh) {
+  EncodedSuspects &Cached = EncodedSuspects_[PeerRecentlyStarted];
   Time Now = Needs_.Clock.now();
-  if (!Fresh && Told.At && Now - *Told.At < PingInterval)
-    return Told.Written;
+  if (!Fresh && Cached.EncodedAt && Now - *Cached.EncodedAt < PingInterval)
+    return Cached.Encoded;
   SuspectsByJob Known;
-  if (AskerIsYoung)
+  if (PeerRecentlyStarted)
     Known = Suspects_;
-  for (const auto &[Name, In] : Pools_)
-    if (const Scheduler *Of = In->scheduler())
-      merge(Known, Of->suspects());
-  Told = {Now, wire::write(Known, Now)};
-  return Told.Written;
+  for (const auto &[Name, Member] : Pools_)
+    if (const Scheduler *PoolScheduler = Member->scheduler())
+      merge(Known, PoolScheduler->suspects());
+  Cached = {Now, wire::write(Known, Now)};
+  return Cached.Encoded;
 }
 
-void EntryJobs::tellSuspects(const PoolMember &Of) {
-  suspectsToTell(false, true);
-  for (const Endpoint &Next : frontRanks(Of.view(), Needs_.Clock.now()))
-    ping(Next, {Of.name()}, true);
+void EntryJobs::sendSuspects(const PoolMember &Pool) {
+  suspectsToSend(false, true);
+  for (const Endpoint &Next : frontRanks(Pool.view(), Needs_.Clock.now()))
+    ping(Next, {Pool.name()}, true);
 }
 
-void EntryJobs::takeSuspects(const Json::Value &From) {
+void EntryJobs::applySuspects(const Json::Value &From) {
   Time Now = Needs_.Clock.now();
-  SuspectsByJob Told = wire::readSuspectsByJob(From, Now);
-  if (Told.empty())
+  SuspectsByJob Received = wire::readSuspectsByJob(From, Now);
+  if (Received.empty())
     return;
   forgetOld(Suspects_, Now);
-  merge(Suspects_, Told);
+  merge(Suspects_, Received);
   // One that has just started may have claimed a pool before it was told.
-  if (!youngAge())
+  if (!ageIfRecentlyStarted())
     return;
-  for (const auto &[Name, In] : Pools_)
-    if (In->scheduler())
-      In->scheduler()->takeSuspects(Told);
+  for (const auto &[Name, Member] : Pools_)
+    if (Member->scheduler())
+      Member->scheduler()->takeSuspects(Received);
 }
 
-void EntryJobs::takePools(const Json::Value &From, const Endpoint &Speaker) {
-  const Json::Value &Told = From["pools"];
-  if (!Told.isObject())
+void EntryJobs::applyPoolStatements(const Json::Value &From,
+                                    const Endpoint &Speaker) {
+  const Json::Value &Statements = From["pools"];
+  if (!Statements.isObject())
     return;
-  for (const std::string &Name : Told.getMemberNames())
-    if (PoolMember *In = findPool(PoolName(Name)))
-      In->takeWord(Told[Name], Speaker);
+  for (const std::string &Name : Statements.getMemberNames())
+    if (PoolMember *Member = findPool(PoolName(Name)))
+      Member->applyPeerStatement(Statements[Name], Speaker);
 }
 
 void EntryJobs::noteEcho(const Endpoint &From, const Json::Value &Params) {
@@ -295,11 +300,11 @@
     return;
   Time Heard{
       Duration(static_cast<Duration::rep>(Params["echo_us"].asUInt64()))};
-  Time &Contact = Contacts_[From];
+  Time &Contact = ConfirmedUntil_[From];
   Contact = std::max(Contact, std::min(Heard, Needs_.Clock.now()));
 }
 
-bool EntryJobs::isNewest(const Endpoint &From, const Json::Value &Params) {
+bool EntryJobs::isLatestPing(const Endpoint &From, const Json::Value &Params) {
   std::uint64_t Sent = wire::numberOf(Params, "sent_us");
   std::uint64_t &Latest = LatestPings_[From];
   if (Sent < Latest)
@@ -310,24 +315,25 @@
 
 void EntryJobs::noteIncarnation(const Endpoint &From,
                                 const Json::Value &Params) {
-  std::uint64_t Told = wire::numberOf(Params, "incarnation");
+  std::uint64_t Reported = wire::numberOf(Params, "incarnation");
   std::uint64_t &Known = Incarnations_[From];
-  if (Told == 0 || Told == Known)
+  if (Reported == 0 || Reported == Known)
     return;
-  Known = Told;
+  Known = Reported;
   LatestPings_.erase(From);
   std::erase_if(Incoming_, [&](const IncomingPtr &Each) {
-    return Each->How.From.Origin == From && Each->How.From.Incarnation != Told;
+    return Each->How.From.Origin == From &&
+           Each->How.From.Incarnation != Reported;
   });
-  for (auto &[Name, In] : Pools_)
-    if (In->scheduler())
-      In->scheduler()->dropEarlier(From, Told);
+  for (auto &[Name, Member] : Pools_)
+    if (Member->scheduler())
+      Member->scheduler()->dropEarlier(From, Reported);
 }
 
 bool EntryJobs::hasFreshEcho(const Endpoint &Owner) const {
   auto Found = Echoes_.find(Owner);
   return Found != Echoes_.end() &&
-         Needs_.Clock.now() - Found->second.Taken < FreshEcho;
+         Needs_.Clock.now() - Found->second.RequestSentAt < MaxEchoAge;
 }
 
 PoolMember *EntryJobs::findPool(const PoolName &Name) const {
@@ -345,24 +351,24 @@
   if (!From)
     return Answer(From.error());
   noteIncarnation(*From, Params);
-  if (isNewest(*From, Params)) {
+  if (isLatestPing(*From, Params)) {
     noteHeard(Peers_, *From, wire::isSet(Params, "stopping"),
               Needs_.Clock.now());
-    takePools(Params, *From);
-    takeSuspects(Params["suspects"]);
+    applyPoolStatements(Params, *From);
+    applySuspects(Params["suspects"]);
     noteEcho(*From, Params);
   }
   Json::Value Result(Json::objectValue);
   if (Params["pools"].isObject())
     for (const std::string &Name : Params["pools"].getMemberNames())
-      if (const PoolMember *In = findPool(PoolName(Name)))
-        Result["pools"][Name] = In->writeClaim();
+      if (const PoolMember *Member = findPool(PoolName(Name)))
+        Result["pools"][Name] = Member->writeClaim();
   Result["stamp_us"] = Json::UInt64(stampOf(Needs_.Clock.now()));
   Result["stopping"] = Stopping_;
-  if (auto Age = youngAge())
+  if (auto Age = ageIfRecentlyStarted())
     Result["age_us"] = Json::UInt64(Age->count());
   const Json::Value &Suspects =
-      suspectsToTell(wire::isSet(Params, "young"), false);
+      suspectsToSend(wire::isSet(Params, "young"), false);
   if (!Suspects.empty())
     Result["suspects"] = Suspects;
   Answer(std::move(Result));
--- a/src/jobs/internal/pools.cpp
+++ b/src/jobs/internal/pools.cpp
@@ -19,9 +19,9 @@
 
 constexpr std::uint64_t Percent = 100;
 /// Above this use what is left are gaps that fit no task.
-constexpr std::uint64_t FullPercent = 85;
+constexpr std::uint64_t UsablePercent = 85;
 /// How long tasks run in the mean: in that time a full pool frees all its room.
-constexpr Duration UsualRun = std::chrono::milliseconds(200);
+constexpr Duration MeanRunTime = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -112,18 +112,18 @@
   Duration Wait{0};
   for (std::size_t I = 0; I < Load.Backlog.size() && I <= Priority; ++I)
     Wait += Load.Backlog[I];
-  std::uint64_t Usable = Load.Capacity * FullPercent / Percent;
+  std::uint64_t Usable = Load.Capacity * UsablePercent / Percent;
   std::uint64_t Wanted = Load.Used + Cores;
   if (Usable > 0 && Wanted > Usable)
     Wait += Duration(static_cast<Duration::rep>(
-        static_cast<double>(UsualRun.count()) *
+        static_cast<double>(MeanRunTime.count()) *
         static_cast<double>(Wanted - Usable) / static_cast<double>(Usable)));
   return Wait;
 }
 
-PoolLoad steady(SteadyPoolLoad &State, const PoolLoad &Load, Time Now) {
-  constexpr double StepOfUse = 1.0 / 16;
-  constexpr Duration StepOfBacklog = std::chrono::milliseconds(20);
+PoolLoad smoothLoad(SmoothedPoolLoad &State, const PoolLoad &Load, Time Now) {
+  constexpr double UseStep = 1.0 / 16;
+  constexpr Duration BacklogStep = std::chrono::milliseconds(20);
   PoolLoad Result = Load;
   if (Load.Capacity == 0)
     return Result;
@@ -131,13 +131,13 @@
   scheduling::observe(State.Use, static_cast<double>(Load.Used) / Capacity,
                       Now);
   Result.Used = static_cast<std::uint64_t>(
-      std::lround(scheduling::tell(State.Use, StepOfUse) * Capacity));
+      std::lround(scheduling::tell(State.Use, UseStep) * Capacity));
   for (std::size_t Class = 0; Class < Load.Backlog.size(); ++Class) {
     scheduling::observe(State.Backlog[Class],
                         static_cast<double>(Load.Backlog[Class].count()), Now);
     Result.Backlog[Class] =
         Duration(static_cast<Duration::rep>(scheduling::tell(
-            State.Backlog[Class], static_cast<double>(StepOfBacklog.count()))));
+            State.Backlog[Class], static_cast<double>(BacklogStep.count()))));
   }
   return Result;
 }
--- a/src/jobs/internal/pools.h
+++ b/src/jobs/internal/pools.h
@@ -83,14 +83,14 @@
                       std::uint64_t Cores);
 
 /// A pool's load as it is told to all entries.
-struct SteadyPoolLoad {
+struct SmoothedPoolLoad {
   scheduling::SteadyValue Use;
   std::array<scheduling::SteadyValue, scheduling::PriorityClasses> Backlog;
 };
 
 /// Takes the load of now and returns the one to tell, which changes by steps
 /// that matter for a choice between pools.
-PoolLoad steady(SteadyPoolLoad &State, const PoolLoad &Load, Time Now);
+PoolLoad smoothLoad(SmoothedPoolLoad &State, const PoolLoad &Load, Time Now);
 
 Json::Value write(const PoolLoad &Value);
 /// Fields that are missing are zero.
--- a/src/jobs/internal/poolview.cpp
+++ b/src/jobs/internal/poolview.cpp
@@ -29,20 +29,20 @@
 
 /// Whether this entry is among those in front of the ranks, the owner aside.
 bool isInFront(const PoolView &View) {
-  std::size_t Before = 0;
+  std::size_t Ahead = 0;
   for (const Endpoint &Entry : View.Ranked) {
     if (Entry == View.Self)
-      return Before < PingedRanks;
+      return Ahead < PingedRanks;
     if (Entry != View.Owner.At)
-      ++Before;
+      ++Ahead;
   }
   return false;
 }
 
-bool letsGo(const PoolView &View, const Endpoint &Entry, Time Now) {
-  auto Found = View.Words.find(Entry);
-  return Found != View.Words.end() && Found->second.LetsGoAt &&
-         Now - *Found->second.LetsGoAt < LetGoLasts;
+bool isReleasing(const PoolView &View, const Endpoint &Entry, Time Now) {
+  auto Found = View.Statements.find(Entry);
+  return Found != View.Statements.end() && Found->second.ReleasingAt &&
+         Now - *Found->second.ReleasingAt < ReleaseValidity;
 }
 
 bool isAliveWithin(const PoolView &View, const Endpoint &Entry,
@@ -50,25 +50,25 @@
   if (Entry == View.Self)
     return !View.Stopping;
   const PeerHealth *Health = peerOf(View, Entry);
-  if ((Health && Health->Stopping) || letsGo(View, Entry, Now))
+  if ((Health && Health->Stopping) || isReleasing(View, Entry, Now))
     return false;
   bool IsNewOwner = Entry == View.Owner.At && View.Owner.Token.value() != 0 &&
                     Now - View.OwnerSince < DeadAfter;
   if (IsNewOwner &&
-      !(Health && Health->Refused && *Health->Refused > View.OwnerSince))
+      !(Health && Health->RefusedAt && *Health->RefusedAt > View.OwnerSince))
     return true;
-  return Health && !Health->Refused && Health->Answered &&
-         Now - *Health->Answered < Horizon;
+  return Health && !Health->RefusedAt && Health->AnsweredAt &&
+         Now - *Health->AnsweredAt < Horizon;
 }
 
 /// Whether \p Entry, which comes before this one, has had the time to answer
 /// since the owner was lost, or is known to be gone.
-bool isKnownToBeGone(const PoolView &View, const Endpoint &Entry, Time Now) {
+bool hasEnded(const PoolView &View, const Endpoint &Entry, Time Now) {
   if (isAlive(View, Entry, Now))
     return false;
   const PeerHealth *Health = peerOf(View, Entry);
-  if ((Health && (Health->Refused || Health->Stopping)) ||
-      letsGo(View, Entry, Now))
+  if ((Health && (Health->RefusedAt || Health->Stopping)) ||
+      isReleasing(View, Entry, Now))
     return true;
   return View.OwnerLostAt && Now - *View.OwnerLostAt >= DeadAfter;
 }
@@ -78,9 +78,9 @@
   for (const Endpoint &Entry : View.Ranked) {
     if (Entry == View.Self)
       break;
-    bool Gone = isSmallGroup(View) ? !isAlive(View, Entry, Now)
-                                   : isKnownToBeGone(View, Entry, Now);
-    if (!Gone)
+    bool Ended = isSmallGroup(View) ? !isAlive(View, Entry, Now)
+                                    : hasEnded(View, Entry, Now);
+    if (!Ended)
       return false;
   }
   return true;
@@ -95,17 +95,18 @@
                      [&](const Endpoint &Entry) {
                        const PeerHealth *Health = peerOf(View, Entry);
                        return Entry == View.Self ||
-                              (Health && (Health->Answered || Health->Refused));
+                              (Health &&
+                               (Health->AnsweredAt || Health->RefusedAt));
                      });
 }
 
 /// Whether an owner that is there would be known by now.
-bool hasLookedAround(const PoolView &View, Time Now) {
-  if (!View.PeersSince)
+bool hasDiscoveredPeers(const PoolView &View, Time Now) {
+  if (!View.PeersKnownSince)
     return false;
-  Duration Looked = Now - *View.PeersSince;
-  return Looked >= DeadAfter ||
-         (Looked >= LookAround && haveFrontRanksAnswered(View));
+  Duration Elapsed = Now - *View.PeersKnownSince;
+  return Elapsed >= DeadAfter ||
+         (Elapsed >= DiscoveryTime && haveFrontRanksAnswered(View));
 }
 
 void adopt(PoolView &View, const OwnerClaim &Claim, Time Now) {
@@ -114,7 +115,7 @@
   View.Rival = OwnerClaim();
   View.OwnerSince = Now;
   View.ReportedAt.reset();
-  View.Words.erase(Claim.At);
+  View.Statements.erase(Claim.At);
 }
 
 /// Whether more than half of the entries, this one included, were heard lately.
@@ -124,7 +125,7 @@
       isSmallGroup(View) ? DeadAfter : DeadAfter + FollowInterval;
   for (const Endpoint &Entry : View.Ranked) {
     const PeerHealth *Health = peerOf(View, Entry);
-    bool Heard = Health && Health->Heard && Now - *Health->Heard < Horizon;
+    bool Heard = Health && Health->HeardAt && Now - *Health->HeardAt < Horizon;
     if (Entry == View.Self || Heard || isAlive(View, Entry, Now))
       ++Count;
   }
@@ -141,28 +142,30 @@
 
 } // namespace
 
-void takeEntries(PoolView &View, const std::vector<Endpoint> &Entries,
-                 Time Now) {
+void applyEntries(PoolView &View, const std::vector<Endpoint> &Entries,
+                  Time Now) {
   View.Ranked = Entries;
-  if (!View.PeersSince && !Entries.empty())
-    View.PeersSince = Now;
+  if (!View.PeersKnownSince && !Entries.empty())
+    View.PeersKnownSince = Now;
   if (std::find(Entries.begin(), Entries.end(), View.Self) == Entries.end())
     View.Ranked.push_back(View.Self);
 }
 
-void noteLetsGo(PoolView &View, const Endpoint &Peer, bool LetsGo, Time Now) {
+void noteReleasing(PoolView &View, const Endpoint &Peer, bool LetsGo,
+                   Time Now) {
   if (LetsGo)
-    View.Words[Peer].LetsGoAt = Now;
-  else if (auto Found = View.Words.find(Peer); Found != View.Words.end())
-    Found->second.LetsGoAt.reset();
+    View.Statements[Peer].ReleasingAt = Now;
+  else if (auto Found = View.Statements.find(Peer);
+           Found != View.Statements.end())
+    Found->second.ReleasingAt.reset();
 }
 
 void noteSettled(PoolView &View, const Endpoint &Peer, bool Settled) {
-  View.Words[Peer].Settled = Settled;
+  View.Statements[Peer].Settled = Settled;
 }
 
-void noteFirst(PoolView &View, const Endpoint &Peer, FencingToken First) {
-  View.Words[Peer].First = First;
+void noteFirstClaim(PoolView &View, const Endpoint &Peer, FencingToken First) {
+  View.Statements[Peer].FirstClaim = First;
 }
 
 bool noteClaim(PoolView &View, const OwnerClaim &Claim, const Endpoint &Speaker,
@@ -170,33 +173,35 @@
   View.Highest = std::max(View.Highest, Claim.Token);
   if (Claim.Token == FencingToken(0) || Claim.At == View.Self)
     return false;
-  if (View.First == FencingToken(0))
-    View.First = Claim.Token;
+  if (View.FirstClaim == FencingToken(0))
+    View.FirstClaim = Claim.Token;
   bool Owned = View.Owner.Token != FencingToken(0);
   if (Owned && Claim.At == View.Owner.At) {
     View.Owner.Token = std::max(View.Owner.Token, Claim.Token);
     View.LastClaim = std::max(View.LastClaim, Claim.Token);
     return false;
   }
-  bool Bound = Owned && isOwnerAlive(View, Now);
-  if (Bound && Speaker != View.Owner.At) {
+  bool FollowsOwner = Owned && isOwnerAlive(View, Now);
+  if (FollowsOwner && Speaker != View.Owner.At) {
     if (View.Rival.At != Claim.At)
       View.RivalSince = Now;
     View.Rival = Claim;
-    View.RivalHeard = Now;
+    View.RivalHeardAt = Now;
     return false;
   }
-  bool OwnWord = !Owned && Claim.At == Speaker && Claim.Token == View.LastClaim;
-  if (Claim.Token <= View.LastClaim && !OwnWord)
+  bool IsOwnersStatement =
+      !Owned && Claim.At == Speaker && Claim.Token == View.LastClaim;
+  if (Claim.Token <= View.LastClaim && !IsOwnersStatement)
     return false;
   adopt(View, Claim, Now);
   return true;
 }
 
-void noteOwnWord(PoolView &View, const Endpoint &Peer, const OwnerClaim &Word) {
-  if (View.Owner.At == Peer && Word.Token < View.Owner.Token)
+void noteOwnStatement(PoolView &View, const Endpoint &Peer,
+                      const OwnerClaim &Statement) {
+  if (View.Owner.At == Peer && Statement.Token < View.Owner.Token)
     View.Owner = OwnerClaim();
-  if (View.Rival.At == Peer && Word.At != Peer)
+  if (View.Rival.At == Peer && Statement.At != Peer)
     View.Rival = OwnerClaim();
 }
 
@@ -207,7 +212,7 @@
 void noteFenced(PoolView &View, FencingToken Token, Time Now) {
   if (View.Owner.Token != Token || View.Owner.At != View.Self)
     return;
-  if (View.RivalHeard && Now - *View.RivalHeard < RivalSettles)
+  if (View.RivalHeardAt && Now - *View.RivalHeardAt < RivalSettleTime)
     return;
   View.Highest =
       FencingToken(View.Highest.value() + FencedStepMillis * TokensPerMilli);
@@ -220,12 +225,14 @@
   View.Owner = OwnerClaim();
 }
 
-bool meetRival(PoolView &View, const OwnerClaim &Other, std::uint64_t Own,
-               std::uint64_t Others, Time Now, WallMillis Wall) {
+bool resolveRival(PoolView &View, const OwnerClaim &Other,
+                  std::uint64_t OwnWorkers, std::uint64_t OtherWorkers,
+                  Time Now, WallMillis Wall) {
   if (!ownsPool(View) || Other.At == View.Self)
     return false;
   View.Rival = OwnerClaim();
-  bool Larger = Own != Others ? Own > Others : View.Self < Other.At;
+  bool Larger = OwnWorkers != OtherWorkers ? OwnWorkers > OtherWorkers
+                                           : View.Self < Other.At;
   bool Higher = View.Owner.Token > Other.Token;
   // The smaller one waits until the other's token lets it take the workers.
   if (Higher)
@@ -257,23 +264,23 @@
   return true;
 }
 
-Time givenUpBy(const PoolView &View, const Endpoint &Owner, Time Now) {
+Time jobsStoppedBy(const PoolView &View, const Endpoint &Owner, Time Now) {
   const PeerHealth *Health = peerOf(View, Owner);
-  if (!Health || Health->Stopping || letsGo(View, Owner, Now) ||
-      !Health->Answered)
+  if (!Health || Health->Stopping || isReleasing(View, Owner, Now) ||
+      !Health->AnsweredAt)
     return Time();
-  return *Health->Answered + OwnerSilence + StopMargin;
+  return *Health->AnsweredAt + OriginTimeout + StopMargin;
 }
 
 OwnerLoss earlierOwnerLoss(const PoolView &View, Time Now) {
   OwnerLoss Loss;
   if (const PeerHealth *Health = peerOf(View, View.Earlier.At)) {
-    Loss.LetGo = Health->Stopping;
-    Loss.Refused = Health->Refused;
+    Loss.Released = Health->Stopping;
+    Loss.RefusedAt = Health->RefusedAt;
   }
-  Loss.LetGo = Loss.LetGo || letsGo(View, View.Earlier.At, Now);
-  auto Found = View.Words.find(View.Earlier.At);
-  Loss.Settled = Found != View.Words.end() && Found->second.Settled;
+  Loss.Released = Loss.Released || isReleasing(View, View.Earlier.At, Now);
+  auto Found = View.Statements.find(View.Earlier.At);
+  Loss.Settled = Found != View.Statements.end() && Found->second.Settled;
   return Loss;
 }
 
@@ -281,15 +288,16 @@
   std::vector<Endpoint> Result;
   for (const Endpoint &Entry : View.Ranked) {
     const PeerHealth *Health = peerOf(View, Entry);
-    bool Answered = Health && Health->Answered && *Health->Answered >= Claimed;
+    bool Answered =
+        Health && Health->AnsweredAt && *Health->AnsweredAt >= Claimed;
     if (Entry != View.Self && !Answered)
       Result.push_back(Entry);
   }
   return Result;
 }
 
-std::optional<Time> earlierOwnersGoneBy(const PoolView &View, Time Claimed) {
-  if (!ownsPool(View) || View.First != View.Owner.Token ||
+std::optional<Time> earlierOwnersEndedBy(const PoolView &View, Time Claimed) {
+  if (!ownsPool(View) || View.FirstClaim != View.Owner.Token ||
       View.Ranked.size() < 2 || !unansweredSince(View, Claimed).empty())
     return std::nullopt;
   Time Latest;
@@ -297,9 +305,9 @@
     if (Entry == View.Self)
       continue;
     const PeerHealth *Health = peerOf(View, Entry);
-    auto Word = View.Words.find(Entry);
-    if (!Health || !Health->StartedBy || Word == View.Words.end() ||
-        Word->second.First != View.Owner.Token)
+    auto Statement = View.Statements.find(Entry);
+    if (!Health || !Health->StartedBy || Statement == View.Statements.end() ||
+        Statement->second.FirstClaim != View.Owner.Token)
       return std::nullopt;
     Latest = std::max(Latest, *Health->StartedBy);
   }
@@ -335,12 +343,12 @@
   if (watchesClosely(View))
     return isAlive(View, View.Owner.At, Now);
   // One that control vouches for is asked before the report is of no use.
-  constexpr Duration Horizon = ReportLasts + FollowInterval + DeadAfter;
+  constexpr Duration Horizon = ReportValidity + FollowInterval + DeadAfter;
   const PeerHealth *Health = peerOf(View, View.Owner.At);
-  bool Gone = (Health && (Health->Refused || Health->Stopping)) ||
-              letsGo(View, View.Owner.At, Now);
+  bool Ended = (Health && (Health->RefusedAt || Health->Stopping)) ||
+               isReleasing(View, View.Owner.At, Now);
   bool Reported = View.ReportedAt && Now - *View.ReportedAt < Horizon;
-  return (Reported && !Gone) || wasAliveLately(View, View.Owner.At, Now);
+  return (Reported && !Ended) || wasAliveLately(View, View.Owner.At, Now);
 }
 
 bool ownsPool(const PoolView &View) {
@@ -357,13 +365,13 @@
   if (!View.OwnerLostAt)
     View.OwnerLostAt = Now;
   if (View.Stopping || Now < View.NoClaimBefore ||
-      !hasLookedAround(View, Now) || !isFirstInLine(View, Now))
+      !hasDiscoveredPeers(View, Now) || !isFirstInLine(View, Now))
     return std::nullopt;
   View.Earlier = View.Owner;
   View.Owner = {View.Self, tokenAbove(View, Wall)};
   View.Highest = View.LastClaim = View.Owner.Token;
-  if (View.First == FencingToken(0))
-    View.First = View.Owner.Token;
+  if (View.FirstClaim == FencingToken(0))
+    View.FirstClaim = View.Owner.Token;
   return View.Owner;
 }
 
--- a/src/jobs/internal/poolview.h
+++ b/src/jobs/internal/poolview.h
@@ -7,7 +7,7 @@
 //   - a worker obeys only the highest fencing token it has seen, and
 //   - a job is at one owner at a time: its entry turns to another owner only
 //     after it has not heard the first for DeadAfter, and by then that owner,
-//     which has not heard the entry for OwnerSilence, has stopped the job.
+//     which has not heard the entry for OriginTimeout, has stopped the job.
 //
 // Entries are ranked. An owner stays the owner as long as it is alive; then the
 // first entry that is alive takes over with a higher token. In a small group
@@ -35,7 +35,7 @@
 /// another pool, and two pools do not know of each other's runs. What has not
 /// begun so long after its caller sent it, or since an owner was lost, does not
 /// begin any more.
-constexpr Duration BeforeCallersReturn = std::chrono::milliseconds(1100);
+constexpr Duration MaxStartDelay = std::chrono::milliseconds(1100);
 /// How often entries ping each other.
 constexpr Duration PingInterval = std::chrono::milliseconds(100);
 /// An entry that has not answered for so long counts as dead.
@@ -44,23 +44,23 @@
 /// within so long: two pings and a half. An entry that has just started claims
 /// nothing before, and then only if the front of the ranks is heard. After a
 /// loss of all processes service is back 0.35 s sooner than with DeadAfter.
-constexpr Duration LookAround = std::chrono::milliseconds(250);
+constexpr Duration DiscoveryTime = std::chrono::milliseconds(250);
 /// A job is sent to an owner, and taken by it, only if the owner was heard
 /// within this time: a message that has lain for longer may be of a caller that
 /// has come back elsewhere.
-constexpr Duration FreshEcho = std::chrono::milliseconds(300);
+constexpr Duration MaxEchoAge = std::chrono::milliseconds(300);
 /// An owner stops the jobs of an entry that has not confirmed for so long that
 /// it hears this owner. Entries turn to another owner after DeadAfter at the
 /// earliest, so it is below that by the time of a stop. A confirmation is two
 /// pings old when it comes, and both ends may be late by a hundred milliseconds
 /// where they have an eighth of a core.
-constexpr Duration OwnerSilence = std::chrono::milliseconds(450);
+constexpr Duration OriginTimeout = std::chrono::milliseconds(450);
 /// An owner that was fenced and hears less than half of the entries lets the
 /// others go on, and makes no claim for so long.
 constexpr Duration FencedPause = std::chrono::seconds(3);
 /// Owners that have heard of each other settle it by their words within so
 /// long; being fenced tells them nothing new meanwhile.
-constexpr Duration RivalSettles = std::chrono::milliseconds(500);
+constexpr Duration RivalSettleTime = std::chrono::milliseconds(500);
 /// The time that an owner takes from noticing to having stopped.
 constexpr Duration StopMargin = std::chrono::milliseconds(100);
 /// How many entries in front of the ranks are watched beside the owner: those
@@ -72,10 +72,10 @@
 /// closely, and how often it asks the front of the ranks.
 constexpr Duration FollowInterval = std::chrono::milliseconds(500);
 /// What control says of an owner counts for so long; then it is asked itself.
-constexpr Duration ReportLasts = std::chrono::seconds(1);
+constexpr Duration ReportValidity = std::chrono::seconds(1);
 /// An owner that has said that it lets go is no candidate for so long, the time
 /// in which another takes the pool.
-constexpr Duration LetGoLasts = std::chrono::milliseconds(1200);
+constexpr Duration ReleaseValidity = std::chrono::milliseconds(1200);
 
 /// An entry's claim to own the pool.
 struct OwnerClaim {
@@ -87,31 +87,31 @@
 };
 
 /// What another entry has said of this pool.
-struct PoolWord {
+struct PeerStatement {
   /// When it said last that it lets go of the pool.
-  std::optional<Time> LetsGoAt;
+  std::optional<Time> ReleasingAt;
   /// Of an owner: it knows all that runs there.
   bool Settled = false;
   /// The first claim that it has ever heard of.
-  FencingToken First;
+  FencingToken FirstClaim;
 };
 
 /// How the owner before was lost, as far as the next one knows.
 struct OwnerLoss {
   /// It has said that it lets go.
-  bool LetGo = false;
+  bool Released = false;
   /// It knew all that ran: no owner before it left a run whose job may be taken
   /// up elsewhere.
   bool Settled = false;
   /// When it began to refuse connections, or something in its name; else it was
   /// silent.
-  std::optional<Time> Refused;
+  std::optional<Time> RefusedAt;
 };
 
 struct PoolView {
   /// \p Known, which all pools share, outlives the view.
-  PoolView(Endpoint Own, const PeerTable &Known)
-      : Self(std::move(Own)), Peers(&Known) {}
+  PoolView(Endpoint Own, const PeerTable &SharedPeers)
+      : Self(std::move(Own)), Peers(&SharedPeers) {}
 
   Endpoint Self;
   const PeerTable *Peers;
@@ -119,8 +119,8 @@
   std::vector<Endpoint> Ranked;
   /// When a list of the entries was first heard. An entry that has just started
   /// and knows nobody claims nothing.
-  std::optional<Time> PeersSince;
-  std::map<Endpoint, PoolWord> Words;
+  std::optional<Time> PeersKnownSince;
+  std::map<Endpoint, PeerStatement> Statements;
   OwnerClaim Owner;
   /// When it was first heard of as the owner. Until it has had the time to
   /// answer it counts as alive.
@@ -134,12 +134,12 @@
   /// it between themselves.
   OwnerClaim Rival;
   /// When it was last heard of, and since when it is.
-  std::optional<Time> RivalHeard;
+  std::optional<Time> RivalHeardAt;
   std::optional<Time> RivalSince;
   /// The owner before; only of an entry that has claimed the pool.
   OwnerClaim Earlier;
   /// The first claim that was heard of.
-  FencingToken First;
+  FencingToken FirstClaim;
   /// The highest claim that was heard of; lower ones are of the past.
   FencingToken LastClaim;
   /// Claims of this entry must be above it.
@@ -153,13 +153,13 @@
 };
 
 /// Takes the entries that there are; an empty list means that none is known.
-void takeEntries(PoolView &View, const std::vector<Endpoint> &Entries,
-                 Time Now);
+void applyEntries(PoolView &View, const std::vector<Endpoint> &Entries,
+                  Time Now);
 
 /// Notes what \p Peer says of itself and this pool.
-void noteLetsGo(PoolView &View, const Endpoint &Peer, bool LetsGo, Time Now);
+void noteReleasing(PoolView &View, const Endpoint &Peer, bool LetsGo, Time Now);
 void noteSettled(PoolView &View, const Endpoint &Peer, bool Settled);
-void noteFirst(PoolView &View, const Endpoint &Peer, FencingToken First);
+void noteFirstClaim(PoolView &View, const Endpoint &Peer, FencingToken First);
 /// Notes a claim that \p Speaker passed on. Returns whether the owner changed;
 /// a new owner counts as alive for now. While the owner is alive only its own
 /// word changes it. The last claim itself comes back into force by its owner's
@@ -168,7 +168,8 @@
                Time Now);
 /// Notes what \p Peer itself takes for the owner: if it is believed to be the
 /// owner and says otherwise, it has let go.
-void noteOwnWord(PoolView &View, const Endpoint &Peer, const OwnerClaim &Word);
+void noteOwnStatement(PoolView &View, const Endpoint &Peer,
+                      const OwnerClaim &Statement);
 /// Notes that claims must be above \p Token, as another entry has found.
 void noteHighest(PoolView &View, FencingToken Token);
 /// Notes that a worker refused this owner's order: somebody else has claimed
@@ -182,8 +183,9 @@
 /// and \p Others count their workers. The larger one takes a token above the
 /// other's, if it has none; the smaller one follows the other once it has.
 /// Returns whether this entry's claim changed.
-bool meetRival(PoolView &View, const OwnerClaim &Other, std::uint64_t Own,
-               std::uint64_t Others, Time Now, WallMillis Wall);
+bool resolveRival(PoolView &View, const OwnerClaim &Other,
+                  std::uint64_t OwnWorkers, std::uint64_t OtherWorkers,
+                  Time Now, WallMillis Wall);
 
 /// Of an owner: others know of a claim with a higher token, so that they do not
 /// follow this one, and for DeadAfter nobody has answered for that claim: its
@@ -193,7 +195,7 @@
 
 /// From when on a job that \p Owner may have taken can go to another one: by
 /// then the owner has let go, or has missed this entry and stopped the job.
-Time givenUpBy(const PoolView &View, const Endpoint &Owner, Time Now);
+Time jobsStoppedBy(const PoolView &View, const Endpoint &Owner, Time Now);
 /// How the owner before this entry's claim was lost.
 OwnerLoss earlierOwnerLoss(const PoolView &View, Time Now);
 
@@ -201,7 +203,7 @@
 /// may have owned it before were gone. That is known where all candidates have
 /// answered since, all their processes are young, and none has ever heard of
 /// another claim: as after a loss of all.
-std::optional<Time> earlierOwnersGoneBy(const PoolView &View, Time Claimed);
+std::optional<Time> earlierOwnersEndedBy(const PoolView &View, Time Claimed);
 /// The candidates that have not answered a question sent since \p Claimed.
 std::vector<Endpoint> unansweredSince(const PoolView &View, Time Claimed);
 
--- a/src/jobs/internal/poolwatch.cpp
+++ b/src/jobs/internal/poolwatch.cpp
@@ -21,10 +21,10 @@
 /// Whether \p Entry has not yet had the time to answer since this process
 /// started. Else an entry that knows nobody would ask the whole group.
 bool isStillUnknown(const PoolView &View, const Endpoint &Entry, Time Now) {
-  if (!View.PeersSince || Now - *View.PeersSince >= DeadAfter)
+  if (!View.PeersKnownSince || Now - *View.PeersKnownSince >= DeadAfter)
     return false;
   const PeerHealth *Health = findPeer(*View.Peers, Entry);
-  return !Health || (!Health->Answered && !Health->Refused);
+  return !Health || (!Health->AnsweredAt && !Health->RefusedAt);
 }
 
 } // namespace
@@ -62,7 +62,7 @@
     return {};
   if (ownsPool(View))
     return frontRanks(View, Now);
-  if (View.ReportedAt && Now - *View.ReportedAt < ReportLasts)
+  if (View.ReportedAt && Now - *View.ReportedAt < ReportValidity)
     return {};
   return {View.Owner.At};
 }
--- a/src/jobs/internal/registrar.cpp
+++ b/src/jobs/internal/registrar.cpp
@@ -22,20 +22,20 @@
 constexpr Duration ReportTimeout = std::chrono::milliseconds(300);
 /// The same after its answer, at first and at most: after a loss of all each
 /// new registrar asks the owners of all pools.
-constexpr Duration FirstReportPause = std::chrono::milliseconds(50);
-constexpr Duration LongestReportPause = std::chrono::milliseconds(400);
+constexpr Duration MinReportPause = std::chrono::milliseconds(50);
+constexpr Duration MaxReportPause = std::chrono::milliseconds(400);
 
 } // namespace
 
 JobRegister *EntryJobs::registerOf(const PoolName &Home) {
-  PoolMember *In = findPool(Home);
-  bool Owns = Plan_ == PoolPlan::ByRack && In && In->scheduler() &&
-              ownsPool(In->view()) && In->dataCentre() == DataCentre_;
+  PoolMember *Member = findPool(Home);
+  bool Owns = Plan_ == PoolPlan::ByRack && Member && Member->scheduler() &&
+              ownsPool(Member->view()) && Member->dataCentre() == DataCentre_;
   if (!Owns) {
     Registers_.erase(Home);
     return nullptr;
   }
-  FencingToken Token = In->scheduler()->token();
+  FencingToken Token = Member->scheduler()->token();
   auto Found = Registers_.find(Home);
   if (Found != Registers_.end() && Found->second.token() == Token)
     return &Found->second;
@@ -45,108 +45,110 @@
 }
 
 void EntryJobs::collectReports() {
-  for (const auto &[Home, In] : Pools_) {
-    JobRegister *Of = registerOf(Home);
-    if (!Of || Of->isComplete())
+  for (const auto &[Home, Member] : Pools_) {
+    JobRegister *Register = registerOf(Home);
+    if (!Register || Register->isComplete())
       continue;
     // Others are likely to be ready when this owner is.
-    if (In->scheduler()->hasTakenOver())
-      for (const auto &[Pool, Member] : Pools_)
-        if (!Of->hasReported(Pool))
-          askForReport(Home, *Of, *Member);
-    completeIfKnown(Home, *Of);
+    if (Member->scheduler()->hasTakenOver())
+      for (const auto &[Pool, Other] : Pools_)
+        if (!Register->hasReported(Pool))
+          requestReport(Home, *Register, *Other);
+    completeIfKnown(Home, *Register);
   }
 }
 
-void EntryJobs::completeIfKnown(const PoolName &Home, JobRegister &Of) {
+void EntryJobs::completeIfKnown(const PoolName &Home, JobRegister &Register) {
   std::vector<PoolName> Near;
   std::vector<PoolName> Far;
-  for (const auto &[Name, In] : Pools_)
-    (In->dataCentre() == DataCentre_ ? Near : Far).push_back(Name);
+  for (const auto &[Name, Member] : Pools_)
+    (Member->dataCentre() == DataCentre_ ? Near : Far).push_back(Name);
   Time Now = Needs_.Clock.now();
-  if (!Of.completeWith(Near, Far, Now))
+  if (!Register.updateCompleteness(Near, Far, Now))
     return;
   std::string Missing;
-  for (const auto &[Name, In] : Pools_)
-    if (!Of.hasReported(Name))
+  for (const auto &[Name, Member] : Pools_)
+    if (!Register.hasReported(Name))
       Missing += (Missing.empty() ? "" : ",") + Name.value();
   logEvent(LogLevel::Info, Module, "register_complete",
            {{"home", Home},
-            {"token", Of.token().value()},
+            {"token", Register.token().value()},
             {"pools", Pools_.size()},
             {"missing", Missing},
-            {"claims", Of.size()},
-            {"took_us", (Now - Of.since()).count()}});
+            {"claims", Register.size()},
+            {"took_us", (Now - Register.since()).count()}});
 }
 
-void EntryJobs::askForReport(const PoolName &Home, JobRegister &Of,
-                             PoolMember &About) {
-  if (About.scheduler()) {
-    FencingToken &Heeded = Heeded_[Home];
-    if (!About.scheduler()->hasTakenOver() || Heeded > Of.token())
+void EntryJobs::requestReport(const PoolName &Home, JobRegister &Register,
+                              PoolMember &Member) {
+  if (Member.scheduler()) {
+    FencingToken &AcceptedToken = AcceptedTokens_[Home];
+    if (!Member.scheduler()->hasTakenOver() || AcceptedToken > Register.token())
       return;
-    Heeded = Of.token();
-    Of.takeReport({About.name(), About.scheduler()->token(), LastQuestion_},
-                  jobsAtHome(Home, *About.scheduler()), Needs_.Clock.now());
+    AcceptedToken = Register.token();
+    Register.applyReport(
+        {Member.name(), Member.scheduler()->token(), LastQuestion_},
+        jobsAtHome(Home, *Member.scheduler()), Needs_.Clock.now());
     return;
   }
-  const OwnerClaim &Owner = About.view().Owner;
-  std::pair<PoolName, PoolName> Question{Home, About.name()};
+  const OwnerClaim &Owner = Member.view().Owner;
+  std::pair<PoolName, PoolName> Question{Home, Member.name()};
   if (Owner.Token == FencingToken(0) || Owner.At == Self_)
     return;
   Time Now = Needs_.Clock.now();
-  ReportQuestion &Asked = ReportsAsked_[Question];
-  if (Asked.Of != Of.token())
-    Asked = {Of.token(), Time(), FirstReportPause};
-  if (Now < Asked.NotBefore)
+  ReportRequest &Request = ReportRequests_[Question];
+  if (Request.RegistrarToken != Register.token())
+    Request = {Register.token(), Time(), MinReportPause};
+  if (Now < Request.RetryAt)
     return;
-  Asked.NotBefore = Now + ReportTimeout;
+  Request.RetryAt = Now + ReportTimeout;
   Json::Value Params(Json::objectValue);
   Params["home"] = Home.value();
-  Params["token"] = Json::UInt64(Of.token().value());
-  Params["pool"] = About.name().value();
+  Params["token"] = Json::UInt64(Register.token().value());
+  Params["pool"] = Member.name().value();
   Needs_.Client.call(
       Owner.At, wire::method::Report, std::move(Params), ReportTimeout,
-      [this, Question, Token = Of.token()](const Outcome<Json::Value> &Result) {
-        ReportQuestion &Asked = ReportsAsked_[Question];
-        Asked.NotBefore = Needs_.Clock.now() + Asked.Pause;
-        Asked.Pause = std::min(Asked.Pause * 2, LongestReportPause);
-        takeReport(Question.first, Token, Question.second, Result);
+      [this, Question,
+       Token = Register.token()](const Outcome<Json::Value> &Result) {
+        ReportRequest &Request = ReportRequests_[Question];
+        Request.RetryAt = Needs_.Clock.now() + Request.Pause;
+        Request.Pause = std::min(Request.Pause * 2, MaxReportPause);
+        handleReportReply(Question.first, Token, Question.second, Result);
       });
 }
 
-void EntryJobs::takeReport(const PoolName &Home, FencingToken Token,
-                           const PoolName &Pool,
-                           const Outcome<Json::Value> &Result) {
-  JobRegister *Of = registerOf(Home);
-  if (!Result || !Of || Of->token() != Token)
+void EntryJobs::handleReportReply(const PoolName &Home, FencingToken Token,
+                                  const PoolName &Pool,
+                                  const Outcome<Json::Value> &Result) {
+  JobRegister *Register = registerOf(Home);
+  if (!Result || !Register || Register->token() != Token)
     return;
   Time Now = Needs_.Clock.now();
-  noteHeeded(Home, FencingToken(wire::numberOf(*Result, "heeded")));
+  noteAcceptedToken(Home, FencingToken(wire::numberOf(*Result, "heeded")));
   if (!(*Result)["jobs"].isArray())
-    return Of->noteNotYet(Now);
+    return Register->noteNotReady(Now);
   // Another owner of that pool may have jobs that this one has not.
   FencingToken PoolToken(wire::numberOf(*Result, "token"));
-  const PoolMember *About = findPool(Pool);
-  if (!About || PoolToken < About->view().Owner.Token)
+  const PoolMember *Member = findPool(Pool);
+  if (!Member || PoolToken < Member->view().Owner.Token)
     return;
   std::vector<JobId> Jobs;
   for (const Json::Value &Each : (*Result)["jobs"])
     if (Each.isString())
       Jobs.emplace_back(Each.asString());
-  Of->takeReport({Pool, PoolToken, wire::numberOf(*Result, "question")}, Jobs,
-                 Now);
-  completeIfKnown(Home, *Of);
+  Register->applyReport({Pool, PoolToken, wire::numberOf(*Result, "question")},
+                        Jobs, Now);
+  completeIfKnown(Home, *Register);
 }
 
 std::vector<JobId> EntryJobs::jobsAtHome(const PoolName &Home,
-                                         const Scheduler &Of) const {
-  const PoolMember *Named = findPool(Home);
-  if (!Named)
+                                         const Scheduler &PoolScheduler) const {
+  const PoolMember *HomeMember = findPool(Home);
+  if (!HomeMember)
     return {};
-  std::vector<JobId> Jobs = Of.jobs();
+  std::vector<JobId> Jobs = PoolScheduler.jobs();
   std::erase_if(Jobs, [&](const JobId &Id) {
-    return homeOf(Id, homesIn(Named->dataCentre())) != Home;
+    return homeOf(Id, homesIn(HomeMember->dataCentre())) != Home;
   });
   return Jobs;
 }
@@ -155,71 +157,74 @@
   auto Home = attempt([&] { return json::readString(Params, "home"); });
   if (!Home)
     return Answer(Home.error());
-  PoolMember *In = poolOfMessage(Params);
+  PoolMember *Member = poolOfMessage(Params);
   FencingToken Token(wire::numberOf(Params, "token"));
-  FencingToken &Heeded = Heeded_[PoolName(*Home)];
-  bool Knows = In && In->scheduler() && ownsPool(In->view()) &&
-               In->scheduler()->hasTakenOver();
+  FencingToken &AcceptedToken = AcceptedTokens_[PoolName(*Home)];
+  bool CanReport = Member && Member->scheduler() && ownsPool(Member->view()) &&
+                   Member->scheduler()->hasTakenOver();
   Json::Value Result(Json::objectValue);
-  Result["heeded"] = Json::UInt64(Heeded.value());
-  if (!Knows || Token < Heeded)
+  Result["heeded"] = Json::UInt64(AcceptedToken.value());
+  if (!CanReport || Token < AcceptedToken)
     return Answer(std::move(Result));
-  Heeded = Token;
-  Result["token"] = Json::UInt64(In->scheduler()->token().value());
+  AcceptedToken = Token;
+  Result["token"] = Json::UInt64(Member->scheduler()->token().value());
   Result["question"] = Json::UInt64(LastQuestion_);
   Result["jobs"] = Json::Value(Json::arrayValue);
-  for (const JobId &Id : jobsAtHome(PoolName(*Home), *In->scheduler()))
+  for (const JobId &Id : jobsAtHome(PoolName(*Home), *Member->scheduler()))
     Result["jobs"].append(Id.value());
   Answer(std::move(Result));
 }
 
-void EntryJobs::noteHeeded(const PoolName &Home, FencingToken Heeded) {
-  PoolMember *In = findPool(Home);
-  if (In && In->scheduler() && Heeded > In->scheduler()->token())
-    noteHighest(In->view(), Heeded);
+void EntryJobs::noteAcceptedToken(const PoolName &Home,
+                                  FencingToken AcceptedToken) {
+  PoolMember *Member = findPool(Home);
+  if (Member && Member->scheduler() &&
+      AcceptedToken > Member->scheduler()->token())
+    noteHighest(Member->view(), AcceptedToken);
 }
 
 JobRegister *EntryJobs::completeRegisterOf(const PoolName &Home) {
-  JobRegister *Of = registerOf(Home);
+  JobRegister *Register = registerOf(Home);
   // After a pause another registrar may be there.
-  if (!Of || !Of->isComplete() || hasJustPaused())
+  if (!Register || !Register->isComplete() || hasJustPaused())
     return nullptr;
   // This entry itself may have reported to another one.
-  FencingToken Heeded = Heeded_[Home];
-  noteHeeded(Home, Heeded);
-  return Heeded > Of->token() ? nullptr : Of;
+  FencingToken AcceptedToken = AcceptedTokens_[Home];
+  noteAcceptedToken(Home, AcceptedToken);
+  return AcceptedToken > Register->token() ? nullptr : Register;
 }
 
-std::optional<ClaimAnswer>
-EntryJobs::agreeTo(const PoolName &Home, const JobId &Id, const Claimant &By) {
-  JobRegister *Of = completeRegisterOf(Home);
-  if (!Of)
+std::optional<ClaimAnswer> EntryJobs::registerClaim(const PoolName &Home,
+                                                    const JobId &Id,
+                                                    const Claimant &Claim) {
+  JobRegister *Register = completeRegisterOf(Home);
+  if (!Register)
     return std::nullopt;
-  ClaimAnswer Agreed = Of->claim(Id, By, Needs_.Clock.now());
+  ClaimAnswer Agreed = Register->claim(Id, Claim, Needs_.Clock.now());
   logEvent(LogLevel::Info, Module, "job_claimed",
            {{"job", Id},
             {"home", Home},
-            {"token", Of->token().value()},
-            {"wanted", By.Pool},
-            {"owner_token", By.Token.value()},
-            {"question", By.Question},
+            {"token", Register->token().value()},
+            {"wanted", Claim.Pool},
+            {"owner_token", Claim.Token.value()},
+            {"question", Claim.Question},
             {"pool", Agreed.Pool},
-            {"had_by_other", Agreed.HadByOther},
-            {"claims", Of->size()}});
+            {"had_by_other", Agreed.HadOtherOwner},
+            {"claims", Register->size()}});
   return Agreed;
 }
 
-void EntryJobs::releaseHere(const PoolName &Home, const JobId &Id,
-                            const Claimant &By) {
-  JobRegister *Of = registerOf(Home);
-  if (!Of)
+void EntryJobs::releaseLocally(const PoolName &Home, const JobId &Id,
+                               const Claimant &Claim) {
+  JobRegister *Register = registerOf(Home);
+  if (!Register)
     return;
-  Of->release(Id, By);
+  Register->release(Id, Claim);
   logEvent(LogLevel::Info, Module, "job_released",
            {{"job", Id},
             {"home", Home},
-            {"pool", By.Pool},
-            {"question", By.Question}});
+            {"pool", Claim.Pool},
+            {"question", Claim.Question}});
 }
 
 void EntryJobs::answerRegister(const Json::Value &Params, const Reply &Answer) {
@@ -229,18 +234,18 @@
   if (!Name || !Releases || !Claims)
     return Answer(Error{ErrorCode::InvalidArgument, "malformed message"});
   PoolName Home(*Name);
-  noteHeeded(Home, FencingToken(wire::numberOf(Params, "heeded")));
-  const JobRegister *Of = completeRegisterOf(Home);
-  if (!Of)
+  noteAcceptedToken(Home, FencingToken(wire::numberOf(Params, "heeded")));
+  const JobRegister *Register = completeRegisterOf(Home);
+  if (!Register)
     return Answer(Error{ErrorCode::Unavailable,
                         "not the registrar, or it does not know all claims"});
-  RegistrarWord Word{Of->token(), {}};
-  for (const auto &[Job, By] : *Releases)
-    releaseHere(Home, Job, By);
-  for (const auto &[Job, By] : *Claims)
-    if (auto Agreed = agreeTo(Home, Job, By))
-      Word.Answers.push_back(*Agreed);
-  Answer(wire::write(Word));
+  RegistrarReply Result{Register->token(), {}};
+  for (const auto &[Job, Claim] : *Releases)
+    releaseLocally(Home, Job, Claim);
+  for (const auto &[Job, Claim] : *Claims)
+    if (auto Agreed = registerClaim(Home, Job, Claim))
+      Result.Answers.push_back(*Agreed);
+  Answer(wire::write(Result));
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/registration.cpp
+++ b/src/jobs/internal/registration.cpp
@@ -21,23 +21,23 @@
 /// A registrar that has not answered for so long is asked again. One that is
 /// short of processor time needs its turn, and would get more to do by shorter
 /// times; its successor is asked at once.
-constexpr Duration RegisterTimeout = std::chrono::milliseconds(300);
+constexpr Duration RegistrarTimeout = std::chrono::milliseconds(300);
 /// After a question that failed, or came to one that cannot agree yet; longer
 /// the longer that lasts. After a loss of all the owners of many pools ask the
 /// registrars of many homes in vain, and these must get to their own work.
-constexpr Duration AskAgainAfter = std::chrono::milliseconds(25);
-constexpr Duration LongestAskAgain = std::chrono::milliseconds(200);
+constexpr Duration MinRetryDelay = std::chrono::milliseconds(25);
+constexpr Duration MaxRetryDelay = std::chrono::milliseconds(200);
 /// Jobs in one question. A registrar takes some milliseconds for so many.
-constexpr std::size_t MostClaims = 64;
+constexpr std::size_t MaxClaimsPerRequest = 64;
 /// Claims to give back that wait for a registrar to answer; others lapse.
-constexpr std::size_t MostReleases = 256;
+constexpr std::size_t MaxPendingReleases = 256;
 /// By then the claims have lapsed by themselves.
-constexpr Duration ReleasesLast = std::chrono::seconds(10);
+constexpr Duration ReleaseLifetime = std::chrono::seconds(10);
 /// What the caller of a job is told to wait whose registrar is not found: a
 /// lost owner is replaced within that time.
 constexpr Duration RetryAfterNoRegistrar = std::chrono::seconds(1);
 
-Error certainlyNotTaken(const char *Reason) {
+Error refusedError(const char *Reason) {
   return Error{ErrorCode::Refused, Reason};
 }
 
@@ -45,204 +45,207 @@
 
 const std::vector<PoolName> &
 EntryJobs::homesIn(const DataCentreId &DataCentre) const {
-  static const std::vector<PoolName> Nothing;
+  static const std::vector<PoolName> NoHomes;
   auto Found = Homes_.find(DataCentre);
-  return Found == Homes_.end() ? Nothing : Found->second;
+  return Found == Homes_.end() ? NoHomes : Found->second;
 }
 
 PoolName EntryJobs::homeOfJob(const JobId &Id) const {
   return homeOf(Id, homesIn(DataCentre_)).value_or(PoolName());
 }
 
-void EntryJobs::takeIn(const IncomingPtr &New, PoolMember &In) {
-  New->Pool = In.name();
-  New->Token = In.scheduler()->token();
-  New->Since = Needs_.Clock.now();
-  New->Number = ++LastIncoming_;
-  if (New->Home.value().empty() || In.scheduler()->hasAnswerFor(New->Wanted.Id))
-    return runIncoming(New, In);
-  if (New->Registrar)
-    Questions_[New->Home].Told = New->Registrar;
-  Incoming_.insert(New);
-  askRegistrar(New->Home);
+void EntryJobs::admitJob(const IncomingPtr &Request, PoolMember &Member) {
+  Request->Pool = Member.name();
+  Request->Token = Member.scheduler()->token();
+  Request->Since = Needs_.Clock.now();
+  Request->Number = ++LastIncoming_;
+  if (Request->Home.value().empty() ||
+      Member.scheduler()->hasAnswerFor(Request->Wanted.Id))
+    return runIncoming(Request, Member);
+  if (Request->Registrar)
+    RegistrarRequests_[Request->Home].ReportedRegistrar = Request->Registrar;
+  Incoming_.insert(Request);
+  askRegistrar(Request->Home);
 }
 
-std::optional<Endpoint> EntryJobs::registrarOf(const PoolName &Name) {
+std::optional<Endpoint> EntryJobs::findRegistrar(const PoolName &Name) {
   const PoolMember *Home = findPool(Name);
   if (!Home || Home->dataCentre() != DataCentre_)
-    return Questions_[Name].Told;
+    return RegistrarRequests_[Name].ReportedRegistrar;
   if (Home->view().Owner.Token == FencingToken(0))
     return std::nullopt;
   return Home->view().Owner.At;
 }
 
-void EntryJobs::askHere(const PoolName &Home) {
+void EntryJobs::claimLocally(const PoolName &Home) {
   std::vector<IncomingPtr> Waiting(Incoming_.begin(), Incoming_.end());
-  for (const IncomingPtr &What : Waiting) {
-    if (What->Home != Home || Incoming_.count(What) == 0)
+  for (const IncomingPtr &Request : Waiting) {
+    if (Request->Home != Home || Incoming_.count(Request) == 0)
       continue;
-    What->Question = ++LastQuestion_;
-    auto Agreed = agreeTo(Home, What->Wanted.Id, claimantOf(*What));
+    Request->Question = ++LastQuestion_;
+    auto Agreed = registerClaim(Home, Request->Wanted.Id, claimantOf(*Request));
     if (!Agreed)
       return;
-    claimed(What, *Agreed);
+    handleClaimAnswer(Request, *Agreed);
   }
 }
 
 void EntryJobs::askRegistrar(const PoolName &Home) {
-  std::optional<Endpoint> Registrar = registrarOf(Home);
+  std::optional<Endpoint> Registrar = findRegistrar(Home);
   if (!Registrar)
     return;
   if (*Registrar == Self_)
-    return askHere(Home);
-  Questions &Of = Questions_[Home];
+    return claimLocally(Home);
+  RegistrarRequests &State = RegistrarRequests_[Home];
   Time Now = Needs_.Clock.now();
   // The answer brings the next question.
-  bool UnderWay = Of.UnderWay && Of.At == *Registrar;
-  if (UnderWay || (Of.At == *Registrar && Now < Of.NotBefore))
+  bool UnderWay = State.UnderWay && State.At == *Registrar;
+  if (UnderWay || (State.At == *Registrar && Now < State.RetryAt))
     return;
   std::vector<IncomingPtr> Asked;
   Json::Value Params(Json::objectValue);
   Params["home"] = Home.value();
-  Params["heeded"] = Json::UInt64(Heeded_[Home].value());
+  Params["heeded"] = Json::UInt64(AcceptedTokens_[Home].value());
   for (const IncomingPtr &Each : Incoming_) {
-    if (Each->Home != Home || Asked.size() == MostClaims)
+    if (Each->Home != Home || Asked.size() == MaxClaimsPerRequest)
       continue;
     Each->Question = ++LastQuestion_;
     Asked.push_back(Each);
     Params["claims"].append(wire::write(Each->Wanted.Id, claimantOf(*Each)));
   }
-  std::vector<Json::Value> Releases = std::exchange(Of.Releases, {});
+  std::vector<Json::Value> Releases = std::exchange(State.Releases, {});
   for (const Json::Value &Each : Releases)
     Params["releases"].append(Each);
   if (Asked.empty() && Releases.empty())
     return;
-  Of.UnderWay = true;
-  Of.At = *Registrar;
+  State.UnderWay = true;
+  State.At = *Registrar;
   Needs_.Client.call(
-      *Registrar, wire::method::Register, std::move(Params), RegisterTimeout,
+      *Registrar, wire::method::Register, std::move(Params), RegistrarTimeout,
       [this, Home, Asked = std::move(Asked), Releases = std::move(Releases),
-       Serial = ++Of.Serial](const Outcome<Json::Value> &Result) {
-        takeRegistrarAnswer(Home, Serial, Asked, Releases, Result);
+       Serial = ++State.Serial](const Outcome<Json::Value> &Result) {
+        handleRegistrarReply(Home, Serial, Asked, Releases, Result);
       });
 }
 
-void EntryJobs::noteUnanswered(const PoolName &Home,
-                               const std::vector<Json::Value> &Releases) {
+void EntryJobs::handleRegistrarFailure(
+    const PoolName &Home, const std::vector<Json::Value> &Releases) {
   // The tick asks again.
-  Questions &Of = Questions_[Home];
+  RegistrarRequests &State = RegistrarRequests_[Home];
   Time Now = Needs_.Clock.now();
-  if (!Of.FailsSince)
-    Of.FailsSince = Now;
-  Of.NotBefore = Now + std::clamp((Now - *Of.FailsSince) / 2, AskAgainAfter,
-                                  LongestAskAgain);
-  bool Lapsed = Now - *Of.FailsSince >= ReleasesLast;
+  if (!State.FailingSince)
+    State.FailingSince = Now;
+  State.RetryAt = Now + std::clamp((Now - *State.FailingSince) / 2,
+                                   MinRetryDelay, MaxRetryDelay);
+  bool HaveExpired = Now - *State.FailingSince >= ReleaseLifetime;
   for (const Json::Value &Each : Releases)
-    if (!Lapsed && Of.Releases.size() < MostReleases)
-      Of.Releases.push_back(Each);
+    if (!HaveExpired && State.Releases.size() < MaxPendingReleases)
+      State.Releases.push_back(Each);
 }
 
-void EntryJobs::takeRegistrarAnswer(const PoolName &Home, std::uint64_t Serial,
-                                    const std::vector<IncomingPtr> &Asked,
-                                    const std::vector<Json::Value> &Releases,
-                                    const Outcome<Json::Value> &Result) {
-  Questions &Of = Questions_[Home];
-  if (Of.Serial == Serial)
-    Of.UnderWay = false;
-  auto Told = attempt([&]() -> RetVal<RegistrarWord> {
+void EntryJobs::handleRegistrarReply(const PoolName &Home, std::uint64_t Serial,
+                                     const std::vector<IncomingPtr> &Asked,
+                                     const std::vector<Json::Value> &Releases,
+                                     const Outcome<Json::Value> &Result) {
+  RegistrarRequests &State = RegistrarRequests_[Home];
+  if (State.Serial == Serial)
+    State.UnderWay = false;
+  auto Answered = attempt([&]() -> RetVal<RegistrarReply> {
     if (!Result)
       return fail(Result.error());
     return wire::readRegistrarWord(*Result);
   });
-  if (!Told || Told->Answers.size() != Asked.size()) {
-    logEvent(
-        LogLevel::Warning, Module, "registrar_silent",
-        {{"home", Home},
-         {"jobs", Asked.size()},
-         {"reason", Told ? "malformed answer" : Told.error().Message.c_str()}});
-    return noteUnanswered(Home, Releases);
+  if (!Answered || Answered->Answers.size() != Asked.size()) {
+    logEvent(LogLevel::Warning, Module, "registrar_silent",
+             {{"home", Home},
+              {"jobs", Asked.size()},
+              {"reason", Answered ? "malformed answer"
+                                  : Answered.error().Message.c_str()}});
+    return handleRegistrarFailure(Home, Releases);
   }
-  FencingToken &Heeded = Heeded_[Home];
-  const PoolMember *Known = findPool(Home);
-  if (Known && Known->isCandidate())
-    Heeded = std::max(Heeded, Known->view().LastClaim);
-  if (Told->Token < Heeded) {
+  FencingToken &AcceptedToken = AcceptedTokens_[Home];
+  const PoolMember *HomeMember = findPool(Home);
+  if (HomeMember && HomeMember->isCandidate())
+    AcceptedToken = std::max(AcceptedToken, HomeMember->view().LastClaim);
+  if (Answered->Token < AcceptedToken) {
     logEvent(LogLevel::Warning, Module, "registrar_outdated",
              {{"home", Home},
               {"jobs", Asked.size()},
-              {"token", Told->Token.value()},
-              {"heeded", Heeded.value()}});
-    return noteUnanswered(Home, Releases);
+              {"token", Answered->Token.value()},
+              {"heeded", AcceptedToken.value()}});
+    return handleRegistrarFailure(Home, Releases);
   }
-  Of.FailsSince.reset();
-  Heeded = Told->Token;
+  State.FailingSince.reset();
+  AcceptedToken = Answered->Token;
   for (std::size_t I = 0; I < Asked.size(); ++I) {
     if (Incoming_.count(Asked[I]) != 0)
-      claimed(Asked[I], Told->Answers[I]);
-    else if (Told->Answers[I].Pool == Asked[I]->Pool)
-      giveBack(*Asked[I]);
+      handleClaimAnswer(Asked[I], Answered->Answers[I]);
+    else if (Answered->Answers[I].Pool == Asked[I]->Pool)
+      releaseClaim(*Asked[I]);
   }
   askRegistrar(Home);
 }
 
-void EntryJobs::claimed(const IncomingPtr &What, const ClaimAnswer &Answer) {
-  Incoming_.erase(What);
-  if (Answer.Pool != What->Pool) {
+void EntryJobs::handleClaimAnswer(const IncomingPtr &Request,
+                                  const ClaimAnswer &Answer) {
+  Incoming_.erase(Request);
+  if (Answer.Pool != Request->Pool) {
     logEvent(LogLevel::Info, Module, "job_registered_elsewhere",
-             {{"job", What->Wanted.Id},
-              {"wanted", What->Pool},
+             {{"job", Request->Wanted.Id},
+              {"wanted", Request->Pool},
               {"pool", Answer.Pool}});
-    return What->Elsewhere(Answer.Pool);
+    return Request->Elsewhere(Answer.Pool);
   }
-  PoolMember *In = findPool(What->Pool);
-  bool Owns = In && In->scheduler() && ownsPool(In->view()) &&
-              In->scheduler()->token() == What->Token;
-  if (!Owns || !isFresh(What->How.From.Origin)) {
-    giveBack(*What);
-    return What->Ended(certainlyNotTaken("the pool has another owner, or the "
-                                         "job has waited for too long"));
+  PoolMember *Member = findPool(Request->Pool);
+  bool Owns = Member && Member->scheduler() && ownsPool(Member->view()) &&
+              Member->scheduler()->token() == Request->Token;
+  if (!Owns || !isFresh(Request->How.From.Origin)) {
+    releaseClaim(*Request);
+    return Request->Ended(refusedError("the pool has another owner, or the "
+                                       "job has waited for too long"));
   }
-  What->How.MaybeTaken = What->How.MaybeTaken || Answer.HadByOther;
-  runIncoming(What, *In);
+  Request->How.MaybeTaken = Request->How.MaybeTaken || Answer.HadOtherOwner;
+  runIncoming(Request, *Member);
 }
 
-void EntryJobs::runIncoming(const IncomingPtr &What, PoolMember &In) {
-  Duration Waited = Needs_.Clock.now() - What->Since;
-  What->How.Age += Waited;
-  What->How.Patience -= Waited;
-  In.scheduler()->run(What->Wanted, What->How,
-                      [this, What](const Outcome<TransientEnd> &Ended) {
-                        if (wasRefused(Ended) && !What->How.MaybeTaken)
-                          giveBack(*What);
-                        What->Ended(Ended);
-                      });
+void EntryJobs::runIncoming(const IncomingPtr &Request, PoolMember &Member) {
+  Duration Waited = Needs_.Clock.now() - Request->Since;
+  Request->How.Age += Waited;
+  Request->How.Patience -= Waited;
+  Member.scheduler()->run(Request->Wanted, Request->How,
+                          [this, Request](const Outcome<TransientEnd> &Ended) {
+                            if (wasRefused(Ended) && !Request->How.MaybeTaken)
+                              releaseClaim(*Request);
+                            Request->Ended(Ended);
+                          });
 }
 
-void EntryJobs::askRegistrarsAgain() {
+void EntryJobs::retryRegistrars() {
   Time Now = Needs_.Clock.now();
   std::set<PoolName> Due;
   std::vector<IncomingPtr> Waiting(Incoming_.begin(), Incoming_.end());
-  for (const IncomingPtr &What : Waiting) {
-    if (Incoming_.count(What) == 0)
+  for (const IncomingPtr &Request : Waiting) {
+    if (Incoming_.count(Request) == 0)
       continue;
-    const PoolMember *In = findPool(What->Pool);
-    if (!In || !In->scheduler() || In->scheduler()->token() != What->Token) {
-      Incoming_.erase(What);
-      What->Ended(certainlyNotTaken("the pool has another owner"));
-    } else if (Now - What->Since + What->How.Age >= BeforeCallersReturn) {
-      Incoming_.erase(What);
+    const PoolMember *Member = findPool(Request->Pool);
+    if (!Member || !Member->scheduler() ||
+        Member->scheduler()->token() != Request->Token) {
+      Incoming_.erase(Request);
+      Request->Ended(refusedError("the pool has another owner"));
+    } else if (Now - Request->Since + Request->How.Age >= MaxStartDelay) {
+      Incoming_.erase(Request);
       logEvent(LogLevel::Warning, Module, "registrar_not_found",
-               {{"job", What->Wanted.Id},
-                {"home", What->Home},
-                {"waited_us", (Now - What->Since).count()}});
-      What->Ended(refusalOf("its registrar was not found in time",
-                            RetryAfterNoRegistrar));
+               {{"job", Request->Wanted.Id},
+                {"home", Request->Home},
+                {"waited_us", (Now - Request->Since).count()}});
+      Request->Ended(refusalOf("its registrar was not found in time",
+                               RetryAfterNoRegistrar));
     } else {
-      Due.insert(What->Home);
+      Due.insert(Request->Home);
     }
   }
-  for (const auto &[Home, Of] : Questions_)
-    if (!Of.Releases.empty())
+  for (const auto &[Home, State] : RegistrarRequests_)
+    if (!State.Releases.empty())
       Due.insert(Home);
   for (const PoolName &Home : Due)
     askRegistrar(Home);
@@ -255,30 +258,30 @@
 }
 
 bool EntryJobs::holds(const JobId &Id, const PoolName &Pool) const {
-  const PoolMember *In = findPool(Pool);
-  return (In && In->scheduler() && In->scheduler()->has(Id)) ||
+  const PoolMember *Member = findPool(Pool);
+  return (Member && Member->scheduler() && Member->scheduler()->has(Id)) ||
          std::any_of(Incoming_.begin(), Incoming_.end(),
                      [&](const IncomingPtr &Each) {
                        return Each->Wanted.Id == Id && Each->Pool == Pool;
                      });
 }
 
-void EntryJobs::giveBack(const Incoming &Of) {
-  if (Of.Question == 0 || holds(Of.Wanted.Id, Of.Pool))
+void EntryJobs::releaseClaim(const Incoming &Request) {
+  if (Request.Question == 0 || holds(Request.Wanted.Id, Request.Pool))
     return;
   // Later than all questions for the job so far.
-  Claimant By{Of.Pool, Of.Token, ++LastQuestion_};
-  std::optional<Endpoint> Registrar = registrarOf(Of.Home);
+  Claimant Claim{Request.Pool, Request.Token, ++LastQuestion_};
+  std::optional<Endpoint> Registrar = findRegistrar(Request.Home);
   if (Registrar && *Registrar == Self_)
-    return releaseHere(Of.Home, Of.Wanted.Id, By);
-  Questions &To = Questions_[Of.Home];
-  if (To.Releases.size() < MostReleases)
-    To.Releases.push_back(wire::write(Of.Wanted.Id, By));
-  askRegistrar(Of.Home);
+    return releaseLocally(Request.Home, Request.Wanted.Id, Claim);
+  RegistrarRequests &State = RegistrarRequests_[Request.Home];
+  if (State.Releases.size() < MaxPendingReleases)
+    State.Releases.push_back(wire::write(Request.Wanted.Id, Claim));
+  askRegistrar(Request.Home);
 }
 
-Claimant EntryJobs::claimantOf(const Incoming &Of) {
-  return {Of.Pool, Of.Token, Of.Question};
+Claimant EntryJobs::claimantOf(const Incoming &Request) {
+  return {Request.Pool, Request.Token, Request.Question};
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/transientjobs.cpp
+++ b/src/jobs/internal/transientjobs.cpp
@@ -189,7 +189,8 @@
     LeastLooked = std::min(LeastLooked, With.LookedAt);
   std::vector<JobId> Settled;
   for (const auto &[Id, Since] : Unsettled_)
-    if (Since < LeastLooked || Now - Since >= OwnerSilence + leaseBound(Lease_))
+    if (Since < LeastLooked ||
+        Now - Since >= OriginTimeout + leaseBound(Lease_))
       Settled.push_back(Id);
   for (const JobId &Id : Settled) {
     Unsettled_.erase(Id);
--- a/src/jobs/internal/workersession.h
+++ b/src/jobs/internal/workersession.h
@@ -128,7 +128,7 @@
   /// A worker takes this long to kill what has no lease.
   Duration KillTime = std::chrono::milliseconds(50);
   /// An earlier owner that is cut off gives no lease after this time: by then
-  /// it has noticed (see OwnerSilence in poolview.h).
+  /// it has noticed (see OriginTimeout in poolview.h).
   Duration EarlierOwner{0};
   /// How long what the earlier owner left is not stopped, for the entries to
   /// hand its jobs in again.
--- a/src/jobs/tests/jobregistertest.cpp
+++ b/src/jobs/tests/jobregistertest.cpp
@@ -66,12 +66,12 @@
 
 TEST(JobRegisterTest, ItIsCompleteOnceAllOwnersHaveReported) {
   JobRegister Register = newRegister();
-  EXPECT_FALSE(Register.completeWith({East, West}, {North}, Time(1ms)));
-  Register.takeReport(owner(East), {Job}, Time(1ms));
-  Register.takeReport(owner(North), {}, Time(1ms));
-  EXPECT_FALSE(Register.completeWith({East, West}, {North}, Time(2ms)));
-  Register.takeReport(owner(West), {}, Time(3ms));
-  EXPECT_TRUE(Register.completeWith({East, West}, {North}, Time(3ms)));
+  EXPECT_FALSE(Register.updateCompleteness({East, West}, {North}, Time(1ms)));
+  Register.applyReport(owner(East), {Job}, Time(1ms));
+  Register.applyReport(owner(North), {}, Time(1ms));
+  EXPECT_FALSE(Register.updateCompleteness({East, West}, {North}, Time(2ms)));
+  Register.applyReport(owner(West), {}, Time(3ms));
+  EXPECT_TRUE(Register.updateCompleteness({East, West}, {North}, Time(3ms)));
   EXPECT_TRUE(Register.isComplete());
   EXPECT_EQ(Register.claim(Job, owner(West), Time(4ms)).Pool, East);
   Register.release(Job, owner(East, Earlier, 5));
@@ -81,28 +81,28 @@
 // What they had is over by then.
 TEST(JobRegisterTest, ItWaitsForSilentOwnersForAWhileOnly) {
   JobRegister Far = newRegister();
-  Far.takeReport(owner(East), {}, Time());
-  EXPECT_FALSE(Far.completeWith({East}, {North}, Time(1519ms)));
-  EXPECT_TRUE(Far.completeWith({East}, {North}, Time(1520ms)));
+  Far.applyReport(owner(East), {}, Time());
+  EXPECT_FALSE(Far.updateCompleteness({East}, {North}, Time(1519ms)));
+  EXPECT_TRUE(Far.updateCompleteness({East}, {North}, Time(1520ms)));
   JobRegister Near = newRegister();
-  EXPECT_FALSE(Near.completeWith({East}, {}, Time(2999ms)));
-  EXPECT_TRUE(Near.completeWith({East}, {}, Time(3s)));
+  EXPECT_FALSE(Near.updateCompleteness({East}, {}, Time(2999ms)));
+  EXPECT_TRUE(Near.updateCompleteness({East}, {}, Time(3s)));
 }
 
 // Its pool may run what an earlier owner had.
 TEST(JobRegisterTest, ItWaitsLongerForAnOwnerThatDoesNotKnowYet) {
   JobRegister Register = newRegister();
-  Register.takeReport(owner(East), {}, Time());
-  Register.noteNotYet(Time(1500ms));
-  EXPECT_FALSE(Register.completeWith({East}, {North}, Time(1999ms)));
-  Register.takeReport(owner(North), {Job}, Time(1999ms));
-  EXPECT_TRUE(Register.completeWith({East}, {North}, Time(1999ms)));
+  Register.applyReport(owner(East), {}, Time());
+  Register.noteNotReady(Time(1500ms));
+  EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(1999ms)));
+  Register.applyReport(owner(North), {Job}, Time(1999ms));
+  EXPECT_TRUE(Register.updateCompleteness({East}, {North}, Time(1999ms)));
   EXPECT_EQ(Register.claim(Job, owner(West), Time(2s)).Pool, North);
 }
 
 TEST(JobRegisterTest, AReportedClaimOutlivesAnOlderRelease) {
   JobRegister Register = newRegister();
-  Register.takeReport(owner(East, Earlier, 7), {Job}, Time());
+  Register.applyReport(owner(East, Earlier, 7), {Job}, Time());
   Register.release(Job, owner(East, Earlier, 6));
   EXPECT_EQ(Register.claim(Job, owner(West), Time(1ms)).Pool, East);
   Register.release(Job, owner(East, Earlier, 8));
@@ -111,11 +111,11 @@
 
 TEST(JobRegisterTest, ItWaitsForNobodyWhoseEntriesAreLongGone) {
   JobRegister Register(FencingToken(20), Time(10s));
-  Register.takeReport(owner(East), {}, Time(10s));
-  EXPECT_FALSE(Register.completeWith({East}, {North}, Time(10s)));
-  Register.noteEntriesGone(Time(9s));
-  EXPECT_FALSE(Register.completeWith({East}, {North}, Time(10519ms)));
-  EXPECT_TRUE(Register.completeWith({East}, {North}, Time(10520ms)));
+  Register.applyReport(owner(East), {}, Time(10s));
+  EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(10s)));
+  Register.noteEntriesEnded(Time(9s));
+  EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(10519ms)));
+  EXPECT_TRUE(Register.updateCompleteness({East}, {North}, Time(10520ms)));
 }
 
 TEST(JobRegisterTest, ClaimsAreForgottenAfterTenSeconds) {
@@ -138,9 +138,9 @@
     Pools.emplace_back("rack" + std::to_string(I));
   JobId Any(std::to_string(*rc::gen::arbitrary<std::uint64_t>()));
   std::optional<PoolName> Before = homeOf(Any, Pools);
-  auto Gone = *rc::gen::inRange<std::size_t>(0, Pools.size());
-  PoolName Lost = Pools[Gone];
-  Pools.erase(Pools.begin() + std::ptrdiff_t(Gone));
+  auto Removed = *rc::gen::inRange<std::size_t>(0, Pools.size());
+  PoolName Lost = Pools[Removed];
+  Pools.erase(Pools.begin() + std::ptrdiff_t(Removed));
   RC_ASSERT(Before == Lost || homeOf(Any, Pools) == Before);
 }
 
--- a/src/jobs/tests/poolstest.cpp
+++ b/src/jobs/tests/poolstest.cpp
@@ -193,7 +193,7 @@
         });
     Fake.run(10ms);
   };
-  Send("stale", OwnerSilence);
+  Send("stale", OriginTimeout);
   EXPECT_EQ(Fake.Workers.Starts, 0U);
   Send("fresh", 10ms);
   EXPECT_EQ(Fake.Workers.Starts, 1U);
@@ -263,7 +263,7 @@
   Time Start{10s};
   PeerTable Peers;
   PoolView View(entry(1), Peers);
-  takeEntries(View, {entry(1), entry(2), entry(3)}, Start);
+  applyEntries(View, {entry(1), entry(2), entry(3)}, Start);
   View.Owner = {entry(1), FencingToken(100)};
   noteAnswer(Peers, entry(2), false, Start + 500ms);
   noteClaim(View, {entry(3), FencingToken(200)}, entry(2), Start);
@@ -279,7 +279,7 @@
   Time Start{10s};
   PeerTable Peers;
   PoolView View(entry(1), Peers);
-  takeEntries(View, {entry(1), entry(2), entry(3)}, Start);
+  applyEntries(View, {entry(1), entry(2), entry(3)}, Start);
   View.Owner = {entry(1), FencingToken(100)};
   View.Highest = FencingToken(100);
   EXPECT_FALSE(outbidSilentRival(View, Start, 0));
