--- a/src/jobs/internal/entryjobs.h
+++ b/src/jobs/internal/entryjobs.h
@@ -121,9 +121,9 @@
   void answerPing(const Json::Value &Params, const Reply &Answer);
   void applyPoolStatements(const Json::Value &From, const Endpoint &Speaker);
   void notifyCandidates(const PoolMember &Pool);
-  /// The tasks that may crash their workers, as an answer to a ping. The answer
-  /// names those that this owner has seen itself; the entries that receive it
-  /// pass them on with the job, so that the pool's next owner knows them. A
+  /// The tasks that may crash their workers, as pings and their answers carry
+  /// them: those that this owner has seen itself. Entries that receive them
+  /// send them along with the job, so that the pool's next owner knows them. A
   /// peer that has recently started gets all that are known here. The encoded
   /// list is reused for PingInterval unless \p Fresh is set: dozens of entries
   /// ping an owner that may know of hundreds of such tasks.
--- a/src/jobs/internal/jobregister.cpp
+++ b/src/jobs/internal/jobregister.cpp
@@ -1,4 +1,4 @@
-//===- jobregister.cpp - Which pool a job goes to -------------------------===//
+//===- jobregister.cpp - Which pool runs a job ----------------------------===//
 
 #include "jobs/internal/jobregister.h"
 
@@ -12,20 +12,21 @@
 
 namespace {
 
-/// An owner remembers for so long how a job has ended, and callers that send it
-/// again meanwhile are told. None waits as long for a job that runs.
+/// For this long an owner remembers how a job has ended, and answers callers
+/// that send it again. No caller waits this long for a running job.
 constexpr Duration ClaimLifetime = std::chrono::seconds(10);
-/// What a lost owner had ends with its lease, see leaseBound().
+/// The runs of a lost owner end with its lease, see leaseBound().
 constexpr Duration MaxLeaseTime = std::chrono::milliseconds(1070);
-/// An owner of this data centre that has not reported by then is out of reach.
-/// Callers come back after 1.3 s, and what its entries had there before is
-/// over.
+/// An owner of this data centre that has not reported by then is unreachable.
+/// Callers send their jobs again after 1.3 s, and what its entries had there
+/// before has ended.
 constexpr Duration NearReportTimeout = std::chrono::seconds(3);
 /// An owner of another data centre that cannot be asked does not hear this
 /// one's entries either: it misses them after OriginTimeout and stops their
 /// jobs, and what it cannot stop ends with its lease.
 constexpr Duration FarReportTimeout = OriginTimeout + MaxLeaseTime;
-/// One that does not know yet what runs in its pool is waited for longer.
+/// The additional wait for an owner that does not yet know what runs in its
+/// pool.
 constexpr Duration NotReadyExtension = std::chrono::milliseconds(500);
 
 } // namespace
--- a/src/jobs/internal/jobregister.h
+++ b/src/jobs/internal/jobregister.h
@@ -1,18 +1,18 @@
-//===- jobregister.h - Which pool a job goes to -----------------*- C++ -*-===//
+//===- jobregister.h - Which pool runs a job --------------------*- C++ -*-===//
 //
-// Where the workers are divided into pools, two owners of pools do not know of
-// each other's runs, and a job can reach both: its caller sends it again when a
-// connection is reset, while the first sending still arrives. So each job has a
-// home, a pool of its entry's data centre that follows from the job's id and
-// the recorded division alone. The owner of the home is the job's registrar.
-// The owner of any other pool starts nothing of a job before its registrar has
-// agreed; the first claim decides, and it stands until that owner gives it
-// back.
+// Where the workers are divided into pools, the owners of two pools do not know
+// of each other's runs, and a job can reach both: when a connection is reset
+// its caller sends it again while the first submission still arrives. So each
+// job has a home, a pool of its entry's data centre that depends only on the
+// job's id and the recorded division. The owner of the home is the job's
+// registrar. The owner of any other pool starts no task of a job before its
+// registrar has agreed. The first claim decides, and it is valid until that
+// owner releases it.
 //
-// The register is in the registrar's memory. Its next owner agrees to nothing
-// before the owner of each pool has told which jobs it has. By its answer such
-// an owner also promises to heed no registrar of a lower token, so that two
-// registrars of one home cannot both agree.
+// The register is in the registrar's memory. The next registrar agrees to
+// nothing before the owner of each pool has reported which jobs it has. By its
+// report an owner also promises to accept no registrar with a lower token, so
+// that two registrars of one home cannot both agree.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,38 +29,38 @@
 namespace geraniumbay::jobs {
 
 /// The pool of \p Pools that is the home of \p Id; nothing if there are none.
-/// All entries that know the same pools agree, and a pool that comes or goes
-/// changes it for its share of the jobs only (rendezvous hashing).
+/// All entries that know the same pools agree, and adding or removing a pool
+/// changes the home for its share of the jobs only (rendezvous hashing).
 std::optional<PoolName> homeOf(const JobId &Id,
                                const std::vector<PoolName> &Pools);
 
-/// A question of the owner of a pool: it wants to run a job.
+/// The owner of a pool that claims a job.
 struct Claimant {
   PoolName Pool;
-  /// Under which it owns the pool.
+  /// The token with which it owns the pool.
   FencingToken Token;
-  /// Counts the questions of an owner.
+  /// Numbers the claims and releases of an owner.
   std::uint64_t Question = 0;
 };
 
-/// What the registrar says to it.
+/// The registrar's answer to a claim.
 struct ClaimAnswer {
-  /// The pool that the job goes to.
+  /// The pool that runs the job.
   PoolName Pool;
-  /// Another owner of that pool had the job: tasks of it may run there.
+  /// An earlier owner of that pool had the job, so tasks of it may run there.
   bool HadOtherOwner = false;
 
   bool operator==(const ClaimAnswer &) const = default;
 };
 
-/// The answers to a question for some jobs, in their order, with the
-/// registrar's token.
+/// The answers to a request with several claims, in the order of the claims,
+/// with the registrar's token.
 struct RegistrarReply {
   FencingToken Token;
   std::vector<ClaimAnswer> Answers;
 };
 
-/// The register of one home, as its owner keeps it under one token.
+/// The register of one home, which its owner keeps while it holds one token.
 class JobRegister {
 public:
   JobRegister(FencingToken Token, Time Now);
@@ -68,31 +68,35 @@
   FencingToken token() const { return Token_; }
   Time since() const { return Since_; }
 
-  /// Takes the jobs that the owner \p By has, with its last question so far. It
-  /// heeds no registrar with a lower token from now on.
+  /// Adds the jobs that \p Owner has. Its Question is the last one that it has
+  /// used so far. From now on that owner accepts no registrar with a lower
+  /// token.
   void applyReport(const Claimant &Owner, const std::vector<JobId> &Jobs,
                    Time Now);
-  /// An owner does not know yet what runs in its pool, but it will.
+  /// Notes that an owner does not yet know what runs in its pool, so that its
+  /// report is still to come.
   void noteNotReady(Time Now);
   bool hasReported(const PoolName &Pool) const {
     return Reported_.count(Pool) != 0;
   }
-  /// Whether all that earlier registrars have agreed to is known.
+  /// Whether all claims that earlier registrars agreed to are known.
   bool isComplete() const { return Complete_; }
-  /// It is once the owners of \p Near, the pools of this data centre, and of
-  /// \p Far, the others, have reported, or what they had is over. Returns
-  /// whether it has just become so.
+  /// The register is complete once the owners of \p Near, the pools of this
+  /// data centre, and of \p Far, the other pools, have reported, or the jobs
+  /// that they had have ended. Returns whether it has just become complete.
   bool updateCompleteness(const std::vector<PoolName> &Near,
                           const std::vector<PoolName> &Far, Time Now);
 
-  /// Notes that what entries of this data centre had before it was lost at \p
-  /// At the latest.
+  /// Notes that the earlier processes of all entries of this data centre had
+  /// ended by \p At; the runs of their jobs end with the leases.
   void noteEntriesEnded(Time At);
 
-  /// Says where \p Id goes: to the pool of \p By, unless another one has it.
+  /// Returns which pool runs \p Id: that of \p Owner, unless another one has
+  /// the job.
   ClaimAnswer claim(const JobId &Id, const Claimant &Owner, Time Now);
-  /// The owner that asked \p By has not run the job and will not: it may go to
-  /// any pool, unless that owner, or a later one, has asked again since.
+  /// Releases the claim of \p Owner, which has not run the job and will not:
+  /// the job may go to any pool, unless that owner, or a later one of its pool,
+  /// has claimed it again since.
   void release(const JobId &Id, const Claimant &Owner);
 
   std::size_t size() const { return Claims_.size(); }
@@ -109,18 +113,18 @@
 
   const FencingToken Token_;
   const Time Since_;
-  /// When what owners of this data centre had is over, reported or not, and
-  /// what those of others had.
+  /// When the jobs that owners of this data centre had have ended, reported or
+  /// not; and the same for owners of other data centres.
   Time NearDeadline_;
   Time FarDeadline_;
-  /// The same where all entries of this data centre have started anew.
+  /// The same if all entries of this data centre have been restarted.
   std::optional<Time> NearEndedBy_;
   std::optional<Time> FarEndedBy_;
   std::set<PoolName> Reported_;
   bool Complete_ = false;
   std::unordered_map<JobId, Claim> Claims_;
-  /// In the order of their times. Those that were released or renewed since are
-  /// still in it.
+  /// The claims in the order of their times, including those that were released
+  /// or renewed since.
   std::deque<std::pair<Time, JobId>> ClaimsByAge_;
 };
 
--- a/src/jobs/internal/ownercalls.cpp
+++ b/src/jobs/internal/ownercalls.cpp
@@ -1,7 +1,7 @@
 //===- ownercalls.cpp - What an owner does for other entries --------------===//
 //
 // Runs the jobs that entries send to the owner of a pool, and stops those whose
-// callers have gone.
+// callers have disconnected.
 //
 //===----------------------------------------------------------------------===//
 
@@ -55,7 +55,7 @@
     return Answer(NotOwner(Member, false));
   noteIncarnation(*Origin, Params);
   noteEcho(*Origin, Params);
-  // As while this VM stood still.
+  // The message may have been delayed while this VM was paused.
   if (!isFresh(*Origin)) {
     logEvent(LogLevel::Warning, Module, "job_stale",
              {{"job", Wanted->Id},
--- a/src/jobs/internal/peertable.cpp
+++ b/src/jobs/internal/peertable.cpp
@@ -1,4 +1,4 @@
-//===- peertable.cpp - What an entry knows of other entries ---------------===//
+//===- peertable.cpp - Health of other entries ----------------------------===//
 
 #include "jobs/internal/peertable.h"
 
--- a/src/jobs/internal/peertable.h
+++ b/src/jobs/internal/peertable.h
@@ -1,7 +1,7 @@
-//===- peertable.h - What an entry knows of other entries -------*- C++ -*-===//
+//===- peertable.h - Health of other entries --------------------*- C++ -*-===//
 //
-// Whether another entry answers is a fact about that entry, so it is kept once
-// and read by all pools that the entry is a candidate for.
+// Whether another entry answers does not depend on the pool, so it is stored
+// once and read by all pools that the entry is a candidate for.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,19 +16,19 @@
 
 namespace geraniumbay::jobs {
 
-/// What is known of another entry.
+/// The health of another entry as far as it is known.
 struct PeerHealth {
-  /// When the request was sent that it answered last.
+  /// When the last request that it answered was sent.
   std::optional<Time> AnsweredAt;
-  /// When it last sent something.
+  /// When a message of it was last received.
   std::optional<Time> HeardAt;
-  /// When it last refused a connection, if it has not answered since: its
-  /// process is gone, or something between refuses in its name.
+  /// When a connection to it was last refused, if it has not answered since:
+  /// its process has ended, or something in between refuses connections.
   std::optional<Time> RefusedAt;
-  /// It says that it is stopping, and releases all pools.
+  /// It announced that it is stopping, and releases all pools.
   bool Stopping = false;
-  /// Of a process that was young when it answered: it had started by then, and
-  /// the process before it was gone.
+  /// Set if the process that answered had recently started: by then it was
+  /// running, and the process before it had ended.
   std::optional<Time> StartedBy;
 };
 
@@ -39,17 +39,17 @@
 /// Null if nothing is known of \p Peer.
 const PeerHealth *findPeer(const PeerTable &Table, const Endpoint &Peer);
 
-/// Notes an answer to a request that was sent at \p Sent. One that was sent
-/// before the last that was answered changes nothing.
+/// Notes an answer to a request that was sent at \p Sent. Ignored if a later
+/// request has been answered already.
 void noteAnswer(PeerTable &Table, const Endpoint &Peer, bool Stopping,
                 Time Sent);
-/// Notes how old the peer's process was in an answer that came \p Now; nothing
-/// if it is not young.
+/// Notes the age that the peer's process reported in an answer received \p Now;
+/// no age means that it has not recently started.
 void noteAge(PeerTable &Table, const Endpoint &Peer,
              std::optional<Duration> Age, Time Now);
 /// Notes that a connection to the peer was refused.
 void noteRefused(PeerTable &Table, const Endpoint &Peer, Time Now);
-/// Notes a request of the peer.
+/// Notes a request received from the peer.
 void noteHeard(PeerTable &Table, const Endpoint &Peer, bool Stopping, Time Now);
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/poolmember.cpp
+++ b/src/jobs/internal/poolmember.cpp
@@ -1,6 +1,6 @@
 //===- poolmember.cpp - An entry's part in one pool -----------------------===//
 //
-// Claims, and the scheduler's beginning and end.
+// Claims, and the start and stop of the scheduler.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,21 +17,22 @@
 
 constexpr const char *Module = "jobs";
 
-/// What an owner said of its load is worth nothing after this time.
+/// How long an owner's report about its load is used.
 constexpr Duration LoadValidity = std::chrono::seconds(2);
-/// What the owner itself said goes before what control says of it for so long.
+/// For this long a load reported by the owner itself takes precedence over
+/// control's reports.
 constexpr Duration DirectLoadValidity = std::chrono::milliseconds(500);
 
-/// A candidate takes over what was let go for it within two pings; else this
-/// entry may claim it again.
+/// A candidate takes over a released pool within two pings; after this time the
+/// entry that released it may claim it again.
 constexpr Duration ReleaseTimeout = std::chrono::seconds(1);
 
-/// The time in which entries hand the jobs of an earlier owner in again.
+/// The time in which entries submit the jobs of an earlier owner again.
 constexpr Duration OrphanGracePeriod = std::chrono::milliseconds(1000);
 
-/// How long a new owner leaves alone what runs of unknown jobs, for the entries
-/// to hand these in again. Behind an owner that was silent for long, little
-/// that runs is left; it is stopped at once.
+/// How long a new owner keeps runs of unknown jobs, so that the entries can
+/// submit these jobs again. After an owner that was silent for long few runs
+/// are left, and they are stopped at once.
 Duration orphanGracePeriod(const OwnerLoss &Loss) {
   return Loss.Released || Loss.RefusedAt ? OrphanGracePeriod : Duration(0);
 }
@@ -66,8 +67,8 @@
                                  bool Candidate) {
   Candidate_ = Candidate;
   applyEntries(View_, Ranked, Deps_.Clock.now());
-  // The pool's data centre has entries of its own again, which do not ask this
-  // one and have an owner among themselves.
+  // The pool's data centre has entries of its own again, which choose an owner
+  // among themselves without this entry.
   if (!Candidate_ && View_.Owner.At == View_.Self)
     View_.Owner = OwnerClaim();
 }
@@ -167,7 +168,8 @@
                       Deps_.Timers,
                       Deps_.Measured,
                       [this] { Deps_.SuspectsFound(*this); }};
-  // Else the jobs that other entries bring would be counted anew.
+  // Otherwise the crashes of jobs that other entries submit would be counted
+  // from zero.
   SuspectsByJob Suspects = Deps_.Suspects;
   if (Scheduler_)
     merge(Suspects, Scheduler_->suspects());
@@ -177,8 +179,8 @@
       Restarted ? OwnerLoss() : earlierOwnerLoss(View_, Deps_.Clock.now());
   Lease.EarlierOwner = Loss.Released ? Duration(0) : OriginTimeout;
   Lease.KeepOrphans = Restarted ? OrphanGracePeriod : orphanGracePeriod(Loss);
-  // What an owner has not found itself may be of a job that has gone elsewhere
-  // since its owner died. Its lease must come to an end.
+  // A run that the last owner did not find itself may be of a job that has gone
+  // to another pool since its own owner was lost; its lease must expire.
   Lease.RenewOrphans = Loss.Released && Loss.Settled;
   ReportedLoad_ = SmoothedPoolLoad();
   Scheduler_ =
@@ -273,8 +275,8 @@
   ReportedOwner_ = Claim->At;
   if (!needsReports())
     return;
-  // Where the owner that is believed in does not answer, control's word counts
-  // whatever its token: jobs are safe at whoever takes them.
+  // If the known owner does not answer, control's report is accepted whatever
+  // its token: jobs are safe with any owner that accepts them.
   if (!Candidate_ && !isOwned())
     View_.LastClaim = FencingToken(0);
   applyClaim(From, Endpoint());
@@ -318,11 +320,11 @@
                               Deps_.Clock.now(), Deps_.Clock.wallNow());
   RaisedForRival_ = RaisedForRival_ || Changed;
   if (Changed)
-    logEvent(LogLevel::Info, Module, "pool_owners_met",
+    logEvent(LogLevel::Info, Module, "pool_owner_conflict",
              {{"pool", Name_},
               {"other", Speaker.text()},
               {"workers", OwnWorkers},
-              {"others_workers", OtherWorkers},
+              {"other_workers", OtherWorkers},
               {"owner", View_.Owner.At.text()}});
 }
 
--- a/src/jobs/internal/poolmember.h
+++ b/src/jobs/internal/poolmember.h
@@ -1,7 +1,8 @@
 //===- poolmember.h - An entry's part in one pool ---------------*- C++ -*-===//
 //
-// What an entry believes of one pool, and the scheduler while it owns it. The
-// entry carries the messages; this class reads and writes the claims in them.
+// What an entry knows of one pool, and the scheduler while it owns the pool.
+// The entry exchanges the messages; this class reads and writes the claims in
+// them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +17,7 @@
 
 class PoolMember;
 
-/// What a member works with; all of it outlives the member.
+/// The dependencies of a member; all of them outlive it.
 struct PoolMemberDependencies {
   IWorkerCalls &Workers;
   const IClock &Clock;
@@ -26,11 +27,11 @@
   const PeerTable &Peers;
   /// Data centres that are evacuated.
   const std::set<DataCentreId> &Evacuated;
-  /// Whether control has told of all workers.
+  /// Whether control's list of workers is complete.
   const bool &KnowsAllWorkers;
-  /// Tasks that may crash their workers, as earlier owners have told.
+  /// Tasks that may crash their workers, as reported by earlier owners.
   const SuspectsByJob &Suspects;
-  /// Called by an owner that has found more of them.
+  /// Called when this owner has found more of them.
   std::function<void(const PoolMember &)> SuspectsFound;
 };
 
@@ -51,69 +52,75 @@
 
   /// Whether this entry may own the pool.
   bool isCandidate() const { return Candidate_; }
-  /// Takes those who may own the pool, by rank. An empty list means that none
-  /// is known.
+  /// Sets the entries that may own the pool, by rank. An empty list means that
+  /// none is known.
   void applyCandidates(const std::vector<Endpoint> &Ranked, bool Candidate);
-  /// The pool has an owner that was heard lately.
+  /// Whether the pool has an owner that was heard lately.
   bool isOwned() const;
 
   /// Claims the pool if it is this entry's turn; returns whether it did.
   bool claimIfDue();
-  /// Starts or ends the scheduler as the view says; with \p Disengaged there is
-  /// none. Returns whether the other candidates must hear of it at once.
+  /// Starts or stops the scheduler according to the view; with \p Disengaged
+  /// there is none. Returns whether the other candidates must be notified at
+  /// once.
   bool followOwner(bool Disengaged);
-  /// Of an owner: by when all processes that may have owned the pool before
-  /// this one were gone, if that is known. \p Started: when this process did.
+  /// For an owner: by when all processes that may have owned the pool before
+  /// this one had ended, if that is known. \p Started is the start of this
+  /// process.
   std::optional<Time> earlierOwnersEndedBy(Time Started) const;
-  /// The candidates whose answers that takes. Nobody once the owner knows what
-  /// runs.
+  /// The candidates whose answers earlierOwnersEndedBy() still needs; empty
+  /// once the owner knows what runs.
   std::vector<Endpoint> candidatesToHear() const;
-  /// Lets go of the pool for the next candidate to take over, with what runs.
-  /// Another claim, or GoneFor, ends it.
+  /// Releases the pool for the next candidate to take over, with the tasks that
+  /// run in it. The release ends with another entry's claim or after
+  /// ReleaseTimeout.
   void releaseOwnership();
-  /// Hands the directory to the scheduler.
+  /// Passes the directory to the scheduler.
   void workersChanged();
   void evacuationsChanged();
 
   Json::Value writeClaim() const;
-  /// What entries of other data centres need: owner, token and a load that is
-  /// told anew only when it has changed by much.
+  /// What entries of other data centres need: owner, token and a load that
+  /// changes only in large steps.
   Json::Value writeReport();
-  /// Takes and returns the claim that a message of \p Speaker carries.
+  /// Applies and returns the claim that a message of \p Speaker carries.
   OwnerClaim applyClaim(const Json::Value &From, const Endpoint &Speaker);
-  /// Takes all that a peer's own message says about the pool.
+  /// Applies all that a peer's own message states about the pool.
   void applyPeerStatement(const Json::Value &From, const Endpoint &Speaker);
-  /// Takes what control says of the pool's owner, where this entry does not
-  /// watch it itself.
+  /// Applies control's report about the pool's owner, if this entry does not
+  /// monitor the owner itself.
   void applyControlReport(const Json::Value &From);
-  /// Notes that the last report still holds, or that nobody vouches for it.
+  /// Notes that the last report is still valid, or that it is not confirmed any
+  /// more.
   void confirmReport();
   void dropReport() { ReportedOwner_.reset(); }
 
-  /// How long \p Wanted may wait here, what was sent since the owner's last
-  /// word included. Nothing if the owner has not told.
+  /// How long \p Wanted may wait here, including the work that was sent since
+  /// the owner last reported its load. Nothing if the load is unknown.
   std::optional<Duration> expectedWait(const Job &Wanted) const;
-  /// How much of the pool is in use, of 1.
+  /// The share of the pool that is in use, from 0 to 1.
   double use() const;
   /// Notes that work was sent to the owner.
   void noteSent(const Job &Sent);
-  /// The owner did not answer: no job is sent before its load is told again.
+  /// Called when the owner did not answer: no job is sent before its load is
+  /// reported again.
   void discardLoad() { LoadUpdatedAt_.reset(); }
 
 private:
-  /// Ends letting go once another owns the pool, or nobody wants to.
+  /// Ends the release once another entry owns the pool, or none has taken it in
+  /// time.
   void endRelease();
   void handleRivalOwner(const Json::Value &From, const OwnerClaim &Claim,
                         const Endpoint &Speaker);
-  /// Whether control's word about the owner is of use here.
+  /// Whether this entry depends on control's reports about the owner.
   bool needsReports() const;
-  /// Whether the owner itself has told its load lately.
+  /// Whether the owner itself has reported its load lately.
   bool hasFreshLoad() const;
   void applyLoad(const Json::Value &From);
-  /// \p Again: this entry has owned the pool before, and another owner has been
-  /// there. Where there are several pools that one may have given jobs back
-  /// which went elsewhere since, so that this one begins anew: each job comes
-  /// again by its entry, and is agreed with its registrar.
+  /// \p Restarted is set if this entry has owned the pool before and another
+  /// owner has come in between. With several pools that owner may have released
+  /// claims to jobs that went to other pools since. The scheduler then starts
+  /// without jobs: each is submitted again by its entry and registered again.
   void startScheduler(bool Restarted);
 
   const PoolMemberDependencies Deps_;
@@ -124,24 +131,24 @@
   WorkerDirectory Directory_;
   const JobStore NoDurableJobs_;
   std::unique_ptr<Scheduler> Scheduler_;
-  /// When this entry claimed the pool last.
+  /// When this entry last claimed the pool.
   Time ClaimedAt_;
-  /// The load in the owner's reports.
+  /// The load in this owner's reports to control.
   SmoothedPoolLoad ReportedLoad_;
-  /// Since when this owner has let go for another candidate.
+  /// Since when this owner has been releasing the pool to another candidate.
   std::optional<Time> ReleasingSince_;
-  /// Whether the scheduler knew all that runs when it ended.
+  /// Whether the scheduler knew all that runs when it was stopped.
   bool WasSettledAtEnd_ = false;
-  /// The claim went up because another owner was met, which lets go.
+  /// The token was raised because of another owner, which releases the pool.
   bool RaisedForRival_ = false;
-  /// The owner's last word.
+  /// The load that the owner last reported.
   PoolLoad Load_;
   std::optional<Time> LoadUpdatedAt_;
-  /// The owner that control has told of, until it is silent there.
+  /// The owner in control's last report; unset once that is not confirmed.
   std::optional<Endpoint> ReportedOwner_;
   /// When the load was last heard from the owner itself.
   std::optional<Time> LoadHeardAt_;
-  /// The work that was sent since.
+  /// The work that was sent since the load was updated.
   scheduling::CoreTime SentSinceUpdate_;
 };
 
--- a/src/jobs/internal/poolowner.cpp
+++ b/src/jobs/internal/poolowner.cpp
@@ -17,18 +17,18 @@
 
 constexpr const char *Module = "jobs";
 constexpr Duration TickInterval = std::chrono::milliseconds(25);
-/// An entry gives pools to others this often at most: the time in which all
-/// have heard of the last change.
+/// The minimum time between two releases to other entries, in which all have
+/// heard of the last change.
 constexpr Duration MinShareInterval = std::chrono::seconds(1);
 constexpr Duration PingTimeout = std::chrono::milliseconds(300);
-/// Pings to one entry under way at a time. One that is lost must not keep the
-/// next from being sent.
+/// Concurrent pings to one entry. A lost one must not keep the next from being
+/// sent.
 constexpr std::size_t MaxPingsInFlight = 3;
-/// A process tells its age for so long: several times what a new owner may have
-/// to wait for.
+/// A process reports its age for this long: several times the longest wait of a
+/// new owner.
 constexpr Duration RecentlyStartedPeriod = std::chrono::seconds(10);
 
-/// The owner's clock as a number that comes back to it.
+/// The time stamp that the receiver sends back.
 std::uint64_t stampOf(Time At) {
   return static_cast<std::uint64_t>(At.time_since_epoch().count());
 }
@@ -41,7 +41,7 @@
   if (Gap < LongPause)
     return;
   PausedUntil_ = Now;
-  // Workers may have come meanwhile.
+  // Workers may have been added meanwhile.
   KnowsAllWorkers_ = false;
   std::vector<AskPtr> Unsent;
   for (const AskPtr &Request : Asks_)
@@ -110,7 +110,7 @@
   if (OwnPools.size() < 2)
     return;
   PoolMember &Shared = *OwnPools.back();
-  // The next owner must be able to count on what this one knows.
+  // The next owner must be able to rely on what this one knows.
   if (!Shared.scheduler()->isSettled())
     return;
   // The first candidate that is alive takes it over.
@@ -140,7 +140,7 @@
       if (Origin == Self_ || Now - ConfirmedUntil_[Origin] < OriginTimeout)
         continue;
       Silent.insert(Origin);
-      // After a pause of this process its pings are still to be read.
+      // After a pause of this process the pings of others are still unread.
       if (SilentOrigins_.count(Origin) == 0)
         continue;
       logEvent(LogLevel::Warning, Module, "entry_silent",
@@ -169,7 +169,8 @@
     for (const Endpoint &To : followTargets(Member->view(), Now))
       Due[To].insert(Name);
   }
-  // An owner elsewhere must hear that it is heard while it has jobs from here.
+  // The owner of another entry needs confirmation that this one hears it while
+  // it has jobs from here.
   for (const AskPtr &Request : Asks_)
     if (Request->SentTo && Request->SentTo->At != Self_)
       Due[Request->SentTo->At].insert(Request->Pool);
@@ -186,7 +187,8 @@
 }
 
 void EntryJobs::notifyCandidates(const PoolMember &Pool) {
-  // All hear of the claim at once, so that they hand their jobs in again.
+  // All are notified of the claim at once, so that they submit their jobs
+  // again.
   for (const Endpoint &Entry : Pool.view().Ranked)
     if (Entry != Self_)
       ping(Entry, {Pool.name()});
@@ -222,8 +224,8 @@
                                 const Outcome<Json::Value> &Result) {
   --PingsUnderWay_[To];
   if (!Result) {
-    // A refusal within the time of a round trip is the VM's own: no process
-    // listens there. A late one is a connection that never came about.
+    // A refusal within a round trip comes from the VM itself: no process
+    // listens there. A late one is a connection that was never established.
     bool AtOnce = Needs_.Clock.now() - Sent < PingTimeout;
     if (Result.error().Code == ErrorCode::Refused && AtOnce)
       noteRefused(Peers_, To, Needs_.Clock.now());
@@ -275,7 +277,8 @@
     return;
   forgetOld(Suspects_, Now);
   merge(Suspects_, Received);
-  // One that has just started may have claimed a pool before it was told.
+  // An entry that has just started may have claimed a pool before it received
+  // these.
   if (!ageIfRecentlyStarted())
     return;
   for (const auto &[Name, Member] : Pools_)
@@ -294,8 +297,8 @@
 }
 
 void EntryJobs::noteEcho(const Endpoint &From, const Json::Value &Params) {
-  // The echo is this entry's own clock; one from before its start means
-  // nothing, and one from the future is none of its own.
+  // The echo is a time stamp of this entry's own clock. One from before its
+  // start is meaningless, and one in the future cannot be its own.
   if (!Params["echo_us"].isUInt64() || Params["echo_us"].asUInt64() == 0)
     return;
   Time Heard{
--- a/src/jobs/internal/pools.cpp
+++ b/src/jobs/internal/pools.cpp
@@ -1,4 +1,4 @@
-//===- pools.cpp - How the workers are divided into pools -----------------===//
+//===- pools.cpp - Division of the workers into pools ---------------------===//
 //
 // Names, candidates, ranks and loads.
 //
@@ -18,9 +18,9 @@
 namespace {
 
 constexpr std::uint64_t Percent = 100;
-/// Above this use what is left are gaps that fit no task.
+/// Above this use the remaining capacity is fragments that fit no task.
 constexpr std::uint64_t UsablePercent = 85;
-/// How long tasks run in the mean: in that time a full pool frees all its room.
+/// The mean run time of tasks, in which a full pool frees all its capacity.
 constexpr Duration MeanRunTime = std::chrono::milliseconds(200);
 
 } // namespace
--- a/src/jobs/internal/poolview.cpp
+++ b/src/jobs/internal/poolview.cpp
@@ -1,6 +1,6 @@
-//===- poolview.cpp - Who owns the pool of workers ------------------------===//
+//===- poolview.cpp - Ownership of a pool ---------------------------------===//
 //
-// Ranks, health and claims. Who asks whom is in poolwatch.cpp.
+// Ranks, health and claims. Who pings whom is in poolwatch.cpp.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Tokens are wall milliseconds times this, plus a number of the entry, so that
-/// no two entries claim the same token.
+/// Tokens are the wall clock in milliseconds times this, plus a hash of the
+/// entry's address, so that two entries do not claim the same token.
 constexpr std::uint64_t TokensPerMilli = 64;
-/// A claim after a fencing by an unknown token goes up by so many milliseconds:
+/// After a fencing by an unknown token a claim is raised by this much, which is
 /// more than clocks jump.
 constexpr std::uint64_t FencedStepMillis = 10000;
 
@@ -27,7 +27,7 @@
   return findPeer(*View.Peers, Entry);
 }
 
-/// Whether this entry is among those in front of the ranks, the owner aside.
+/// Whether this entry is among the first ranks, not counting the owner.
 bool isInFront(const PoolView &View) {
   std::size_t Ahead = 0;
   for (const Endpoint &Entry : View.Ranked) {
@@ -61,8 +61,8 @@
          Now - *Health->AnsweredAt < Horizon;
 }
 
-/// Whether \p Entry, which comes before this one, has had the time to answer
-/// since the owner was lost, or is known to be gone.
+/// Whether \p Entry, which ranks before this one, is known to have ended or has
+/// not answered in the time that it had since the owner was lost.
 bool hasEnded(const PoolView &View, const Endpoint &Entry, Time Now) {
   if (isAlive(View, Entry, Now))
     return false;
@@ -73,7 +73,7 @@
   return View.OwnerLostAt && Now - *View.OwnerLostAt >= DeadAfter;
 }
 
-/// Whether nobody else takes over first.
+/// Whether no entry of higher rank can take over.
 bool isFirstInLine(const PoolView &View, Time Now) {
   for (const Endpoint &Entry : View.Ranked) {
     if (Entry == View.Self)
@@ -86,8 +86,8 @@
   return true;
 }
 
-/// Whether the first of the ranks, those that an owner pings, have answered or
-/// are known to be gone.
+/// Whether the first ranks, which an owner pings, have answered or are known to
+/// have ended.
 bool haveFrontRanksAnswered(const PoolView &View) {
   std::size_t Front = std::min(PingedRanks, View.Ranked.size());
   return std::all_of(View.Ranked.begin(),
@@ -100,7 +100,7 @@
                      });
 }
 
-/// Whether an owner that is there would be known by now.
+/// Whether an existing owner would be known by now.
 bool hasDiscoveredPeers(const PoolView &View, Time Now) {
   if (!View.PeersKnownSince)
     return false;
@@ -234,7 +234,7 @@
   bool Larger = OwnWorkers != OtherWorkers ? OwnWorkers > OtherWorkers
                                            : View.Self < Other.At;
   bool Higher = View.Owner.Token > Other.Token;
-  // The smaller one waits until the other's token lets it take the workers.
+  // The smaller one waits until the other has a token that the workers obey.
   if (Higher)
     return false;
   if (!Larger) {
@@ -342,7 +342,7 @@
     return false;
   if (watchesClosely(View))
     return isAlive(View, View.Owner.At, Now);
-  // One that control vouches for is asked before the report is of no use.
+  // An owner reported by control is pinged before the report expires.
   constexpr Duration Horizon = ReportValidity + FollowInterval + DeadAfter;
   const PeerHealth *Health = peerOf(View, View.Owner.At);
   bool Ended = (Health && (Health->RefusedAt || Health->Stopping)) ||
--- a/src/jobs/internal/poolwatch.cpp
+++ b/src/jobs/internal/poolwatch.cpp
@@ -1,7 +1,8 @@
-//===- poolwatch.cpp - Who asks whom about a pool -------------------------===//
+//===- poolwatch.cpp - Which entries ping each other about a pool ---------===//
 //
-// What each entry pings, so that a lost owner is noticed and two owners hear of
-// each other, while the pings of an entry do not grow with a large group.
+// Which entries each entry pings, so that a lost owner is noticed and two
+// owners hear of each other, while the number of pings of an entry does not
+// grow with a large group.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,8 @@
 }
 
 /// Whether \p Entry has not yet had the time to answer since this process
-/// started. Else an entry that knows nobody would ask the whole group.
+/// started. Counting it as a possible candidate keeps an entry that knows
+/// nobody yet from pinging the whole group.
 bool isStillUnknown(const PoolView &View, const Endpoint &Entry, Time Now) {
   if (!View.PeersKnownSince || Now - *View.PeersKnownSince >= DeadAfter)
     return false;
--- a/src/jobs/internal/registrar.cpp
+++ b/src/jobs/internal/registrar.cpp
@@ -1,7 +1,7 @@
-//===- registrar.cpp - The registers of the homes that this entry owns ----===//
+//===- registrar.cpp - Job registers of the homes of this entry -----------===//
 //
-// Answers to the owners of pools that ask before they start a job, and the
-// reports of those owners from which a new registrar learns what its
+// Answers to the owners of pools that claim jobs before they start them, and
+// the reports of those owners from which a new registrar learns what its
 // predecessors have agreed to.
 //
 //===----------------------------------------------------------------------===//
@@ -18,10 +18,11 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// An owner is asked again for its report after this time.
+/// A request for an owner's report is repeated if it has not been answered.
 constexpr Duration ReportTimeout = std::chrono::milliseconds(300);
-/// The same after its answer, at first and at most: after a loss of all each
-/// new registrar asks the owners of all pools.
+/// The delay before an owner that has answered is asked again. It doubles with
+/// each answer, since after a loss of all processes each new registrar asks the
+/// owners of all pools.
 constexpr Duration MinReportPause = std::chrono::milliseconds(50);
 constexpr Duration MaxReportPause = std::chrono::milliseconds(400);
 
@@ -39,7 +40,7 @@
   auto Found = Registers_.find(Home);
   if (Found != Registers_.end() && Found->second.token() == Token)
     return &Found->second;
-  // Under another token somebody else may have agreed to claims.
+  // With another token in between, another registrar may have agreed to claims.
   Registers_.erase(Home);
   return &Registers_.try_emplace(Home, Token, Needs_.Clock.now()).first->second;
 }
@@ -49,7 +50,7 @@
     JobRegister *Register = registerOf(Home);
     if (!Register || Register->isComplete())
       continue;
-    // Others are likely to be ready when this owner is.
+    // The other owners are likely to be ready when this one is.
     if (Member->scheduler()->hasTakenOver())
       for (const auto &[Pool, Other] : Pools_)
         if (!Register->hasReported(Pool))
@@ -127,7 +128,7 @@
   noteAcceptedToken(Home, FencingToken(wire::numberOf(*Result, "heeded")));
   if (!(*Result)["jobs"].isArray())
     return Register->noteNotReady(Now);
-  // Another owner of that pool may have jobs that this one has not.
+  // A later owner of that pool may have jobs that this one does not have.
   FencingToken PoolToken(wire::numberOf(*Result, "token"));
   const PoolMember *Member = findPool(Pool);
   if (!Member || PoolToken < Member->view().Owner.Token)
@@ -185,10 +186,10 @@
 
 JobRegister *EntryJobs::completeRegisterOf(const PoolName &Home) {
   JobRegister *Register = registerOf(Home);
-  // After a pause another registrar may be there.
+  // After a pause there may be another registrar.
   if (!Register || !Register->isComplete() || hasJustPaused())
     return nullptr;
-  // This entry itself may have reported to another one.
+  // This entry may itself have reported to another registrar.
   FencingToken AcceptedToken = AcceptedTokens_[Home];
   noteAcceptedToken(Home, AcceptedToken);
   return AcceptedToken > Register->token() ? nullptr : Register;
--- a/src/jobs/internal/registration.cpp
+++ b/src/jobs/internal/registration.cpp
@@ -1,4 +1,4 @@
-//===- registration.cpp - An owner asks before it starts ------------------===//
+//===- registration.cpp - Claims of jobs by the owner of a pool -----------===//
 //
 // Jobs that are brought to the owner of a pool. It runs one whose home is
 // another pool only once the job's registrar has agreed, see jobregister.h.
@@ -18,23 +18,25 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// A registrar that has not answered for so long is asked again. One that is
-/// short of processor time needs its turn, and would get more to do by shorter
-/// times; its successor is asked at once.
+/// A registrar that has not answered for this long is asked again. Shorter
+/// times would only add load to a registrar that is short of processor time.
+/// Its successor is asked at once.
 constexpr Duration RegistrarTimeout = std::chrono::milliseconds(300);
-/// After a question that failed, or came to one that cannot agree yet; longer
-/// the longer that lasts. After a loss of all the owners of many pools ask the
-/// registrars of many homes in vain, and these must get to their own work.
+/// The delay after a request that failed, or that reached a registrar which
+/// cannot agree yet; it grows the longer requests fail. After a loss of all
+/// processes the owners of many pools ask the registrars of many homes in vain,
+/// which must have time left for their own work.
 constexpr Duration MinRetryDelay = std::chrono::milliseconds(25);
 constexpr Duration MaxRetryDelay = std::chrono::milliseconds(200);
-/// Jobs in one question. A registrar takes some milliseconds for so many.
+/// A registrar needs some milliseconds for this many.
 constexpr std::size_t MaxClaimsPerRequest = 64;
-/// Claims to give back that wait for a registrar to answer; others lapse.
+/// Releases that wait for a registrar to answer; further ones are dropped, and
+/// their claims expire.
 constexpr std::size_t MaxPendingReleases = 256;
-/// By then the claims have lapsed by themselves.
+/// After this time the claims have expired by themselves.
 constexpr Duration ReleaseLifetime = std::chrono::seconds(10);
-/// What the caller of a job is told to wait whose registrar is not found: a
-/// lost owner is replaced within that time.
+/// The delay that a caller is told if its job's registrar is not found: a lost
+/// owner is replaced within that time.
 constexpr Duration RetryAfterNoRegistrar = std::chrono::seconds(1);
 
 Error refusedError(const char *Reason) {
@@ -98,7 +100,7 @@
     return claimLocally(Home);
   RegistrarRequests &State = RegistrarRequests_[Home];
   Time Now = Needs_.Clock.now();
-  // The answer brings the next question.
+  // The next request is sent when the answer arrives.
   bool UnderWay = State.UnderWay && State.At == *Registrar;
   if (UnderWay || (State.At == *Registrar && Now < State.RetryAt))
     return;
@@ -130,7 +132,7 @@
 
 void EntryJobs::handleRegistrarFailure(
     const PoolName &Home, const std::vector<Json::Value> &Releases) {
-  // The tick asks again.
+  // tick() repeats the request.
   RegistrarRequests &State = RegistrarRequests_[Home];
   Time Now = Needs_.Clock.now();
   if (!State.FailingSince)
@@ -156,7 +158,7 @@
     return wire::readRegistrarWord(*Result);
   });
   if (!Answered || Answered->Answers.size() != Asked.size()) {
-    logEvent(LogLevel::Warning, Module, "registrar_silent",
+    logEvent(LogLevel::Warning, Module, "registrar_request_failed",
              {{"home", Home},
               {"jobs", Asked.size()},
               {"reason", Answered ? "malformed answer"
@@ -269,7 +271,7 @@
 void EntryJobs::releaseClaim(const Incoming &Request) {
   if (Request.Question == 0 || holds(Request.Wanted.Id, Request.Pool))
     return;
-  // Later than all questions for the job so far.
+  // Numbered after all claims of the job so far.
   Claimant Claim{Request.Pool, Request.Token, ++LastQuestion_};
   std::optional<Endpoint> Registrar = findRegistrar(Request.Home);
   if (Registrar && *Registrar == Self_)
--- a/src/jobs/internal/rendezvous.h
+++ b/src/jobs/internal/rendezvous.h
@@ -1,7 +1,8 @@
 //===- rendezvous.h - Rendezvous hashing ------------------------*- C++ -*-===//
 //
-// All who know the same candidates choose the same one for a key, and one that
-// comes or goes changes the choice for its share of the keys only.
+// All processes that know the same candidates choose the same one for a key,
+// and adding or removing a candidate changes the choice for its share of the
+// keys only.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +16,9 @@
 
 namespace geraniumbay::jobs {
 
-/// The candidate with the highest hash of \p WordFor, a word that names it and
-/// the key; the first of those that are equal. Nothing without candidates.
+/// The candidate with the highest hash of \p WordFor, a string that identifies
+/// the candidate and the key; the first of several equal ones. Nothing without
+/// candidates.
 template <typename T, typename WordFn>
 std::optional<T> chooseByHash(const std::vector<T> &Candidates,
                               WordFn WordFor) {
--- a/src/jobs/tests/jobregistertest.cpp
+++ b/src/jobs/tests/jobregistertest.cpp
@@ -1,4 +1,4 @@
-//===- jobregistertest.cpp - Which pool a job goes to ---------------------===//
+//===- jobregistertest.cpp - Which pool runs a job ------------------------===//
 
 #include "jobs/internal/jobregister.h"
 
@@ -35,8 +35,8 @@
             (ClaimAnswer{East, false}));
 }
 
-// A refusal that one sending has met says nothing of another sending.
-TEST(JobRegisterTest, AClaimMovesOnlyOnceItsOwnerGivesItBack) {
+// The refusal of one submission must not affect another submission of the job.
+TEST(JobRegisterTest, AClaimMovesOnlyOnceItsOwnerReleasesIt) {
   JobRegister Register = newRegister();
   Register.claim(Job, owner(East), Time());
   EXPECT_EQ(Register.claim(Job, owner(West), Time(5ms)).Pool, East);
@@ -47,7 +47,7 @@
   EXPECT_EQ(Register.claim(Job, owner(East), Time(8ms)).Pool, West);
 }
 
-TEST(JobRegisterTest, AnOwnerThatHasAskedAgainKeepsItsClaim) {
+TEST(JobRegisterTest, AnOwnerThatHasClaimedAgainKeepsItsClaim) {
   JobRegister Register = newRegister();
   Register.claim(Job, owner(East, Earlier, 1), Time());
   Register.claim(Job, owner(East, Earlier, 2), Time(1ms));
@@ -78,7 +78,7 @@
   EXPECT_EQ(Register.claim(Job, owner(West), Time(5ms)).Pool, West);
 }
 
-// What they had is over by then.
+// The jobs that they had have ended by then.
 TEST(JobRegisterTest, ItWaitsForSilentOwnersForAWhileOnly) {
   JobRegister Far = newRegister();
   Far.applyReport(owner(East), {}, Time());
@@ -89,7 +89,7 @@
   EXPECT_TRUE(Near.updateCompleteness({East}, {}, Time(3s)));
 }
 
-// Its pool may run what an earlier owner had.
+// Its pool may still run jobs of an earlier owner.
 TEST(JobRegisterTest, ItWaitsLongerForAnOwnerThatDoesNotKnowYet) {
   JobRegister Register = newRegister();
   Register.applyReport(owner(East), {}, Time());
@@ -109,7 +109,7 @@
   EXPECT_EQ(Register.claim(Job, owner(West), Time(2ms)).Pool, West);
 }
 
-TEST(JobRegisterTest, ItWaitsForNobodyWhoseEntriesAreLongGone) {
+TEST(JobRegisterTest, ItDoesNotWaitForEntriesThatHaveLongEnded) {
   JobRegister Register(FencingToken(20), Time(10s));
   Register.applyReport(owner(East), {}, Time(10s));
   EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(10s)));
@@ -118,21 +118,21 @@
   EXPECT_TRUE(Register.updateCompleteness({East}, {North}, Time(10520ms)));
 }
 
-TEST(JobRegisterTest, ClaimsAreForgottenAfterTenSeconds) {
+TEST(JobRegisterTest, ClaimsExpireAfterTenSeconds) {
   JobRegister Register = newRegister();
   for (int I = 0; I < 3000; ++I)
     Register.claim(JobId("job" + std::to_string(I)), owner(East),
                    Time(I * 10ms));
   EXPECT_LE(Register.size(), 1001U);
   Register.claim(Job, owner(East), Time(29s));
-  // A released one does not take its successor along.
+  // The expiry of a released claim does not remove its successor.
   Register.release(Job, owner(East));
   Register.claim(Job, owner(West), Time(31s));
   EXPECT_EQ(Register.claim(Job, owner(East), Time(40s)).Pool, West);
   EXPECT_EQ(Register.claim(Job, owner(East), Time(42s)).Pool, East);
 }
 
-RC_GTEST_PROP(JobRegisterProperties, APoolThatGoesMovesItsOwnJobsOnly, ()) {
+RC_GTEST_PROP(JobRegisterProperties, RemovingAPoolMovesItsOwnJobsOnly, ()) {
   std::vector<PoolName> Pools;
   for (int I = 1; I <= 9; ++I)
     Pools.emplace_back("rack" + std::to_string(I));
--- a/src/jobs/tests/lossofalltest.cpp
+++ b/src/jobs/tests/lossofalltest.cpp
@@ -1,9 +1,9 @@
 //===- lossofalltest.cpp - All entries are lost at once -------------------===//
 //
-// The load: all entries of a large deployment die at the same moment and start
-// again together. Each needs whole lists from one leader, every pool gets a new
-// owner and every home a new registrar within the same second, while callers
-// come back with their jobs.
+// All entries of a large deployment crash at the same moment and are restarted
+// together. Each needs whole lists from one leader, every pool gets a new owner
+// and every home a new registrar within the same second, while callers send
+// their jobs again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,8 +32,8 @@
 }
 
 // Guards against entries that keep a leader busy with answers which nobody
-// waits for any more: it needs several times the patience of a question to
-// write the lists for all of them once.
+// waits for any more: it needs several times the time-out of a request to write
+// the lists for all of them once.
 TEST(LossOfAllTest, EntriesThatStartTogetherAreServedByASlowLeader) {
   constexpr int EntriesEach = 147;
   EntryFake Fake(EntriesEach, 60);
@@ -45,15 +45,15 @@
   restartAll(Fake);
   Fake.run(4s);
   EXPECT_TRUE(areAllReady(Fake));
-  constexpr std::uint64_t QuestionsEach = 12;
+  constexpr std::uint64_t RequestsEach = 12;
   EXPECT_LE(Fake.Net.Sent[wire::method::Sync],
-            QuestionsEach * Fake.Entries.size());
+            RequestsEach * Fake.Entries.size());
 }
 
-/// Questions between owners and registrars in the seconds after all have
-/// started again, while callers send a job to each entry every 100 ms. There
-/// are twice \p PoolsEach pools.
-double questionsAfterLoss(int PoolsEach) {
+/// The number of requests between owners and registrars in the seconds after
+/// all entries were restarted, while callers send a job to each entry every 100
+/// ms. There are twice \p PoolsEach pools.
+double requestsAfterLoss(int PoolsEach) {
   EntryFake Fake(PoolsEach, PoolsEach, 1, PoolsEach);
   Fake.Workers.TaskTime = 60ms;
   Fake.settleByRack();
@@ -66,32 +66,32 @@
           I, "job" + std::to_string(Step) + "." + std::to_string(I), 1));
     Fake.run(100ms);
   }
-  double Questions = 0;
+  double Requests = 0;
   for (const char *Method : {wire::method::Report, wire::method::Register}) {
-    Questions += static_cast<double>(Fake.Net.Sent[Method]);
+    Requests += static_cast<double>(Fake.Net.Sent[Method]);
   }
   Fake.run(2s);
   // All but those of the first moments, in which nobody owns a pool.
   EXPECT_GE(std::count_if(Jobs.begin(), Jobs.end(), served),
             static_cast<std::ptrdiff_t>(Jobs.size() * 9 / 10));
   EXPECT_TRUE(Fake.Workers.Doubled.empty());
-  return Questions;
+  return Requests;
 }
 
 // Guards against registrars of many homes that each ask the owners of all
-// pools: a further pool costs no more questions where there are many.
+// pools: an additional pool costs no more requests where there are many.
 TEST(LossOfAllTest, QuestionsToRegistrarsGrowNoFasterThanThePools) {
   constexpr int Few = 2;
   constexpr int Some = 13;
   constexpr int Many = 38;
-  double OfFew = questionsAfterLoss(Few);
-  double OfSome = questionsAfterLoss(Some);
-  double OfMany = questionsAfterLoss(Many);
+  double OfFew = requestsAfterLoss(Few);
+  double OfSome = requestsAfterLoss(Some);
+  double OfMany = requestsAfterLoss(Many);
   EXPECT_LE((OfMany - OfSome) / (Many - Some),
             (OfSome - OfFew) / (Some - Few) * 1.1);
 }
 
-/// Pings of an entry in the first moments after all have started again.
+/// The pings of each entry in the first half second after all were restarted.
 double pingsEach(int EntriesEach) {
   EntryFake Fake(EntriesEach, 60);
   ControlFake Control(Fake, "document");
@@ -102,7 +102,7 @@
          static_cast<double>(Fake.Entries.size());
 }
 
-// Guards against entries that know nobody yet and ask the whole group.
+// Guards against entries that know no other entry yet and ping the whole group.
 TEST(LossOfAllTest, PingsOfAnEntryDoNotGrowWithTheGroup) {
   double Few = pingsEach(10);
   EXPECT_LE(pingsEach(30), Few * 1.1);
--- a/src/jobs/tests/poolstest.cpp
+++ b/src/jobs/tests/poolstest.cpp
@@ -1,8 +1,8 @@
 //===- poolstest.cpp - Workers divided by racks ---------------------------===//
 //
-// Names and ranks of pools, which pool a job goes to, and whole entries with a
-// pool a rack: owners keep to their data centre, a cut changes no owner, and no
-// task has two runs at a time.
+// Names and ranks of pools, the choice of a pool for a job, and whole entries
+// with one pool per rack: owners belong to the data centre of their pool, a
+// network partition changes no owner, and no task has two runs at a time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -58,7 +58,7 @@
       candidatesFor(PoolPlan::ByRack, DataCentreId("west"), Places).size(), 2U);
 }
 
-TEST(PoolsTest, UrgentJobsDoNotWaitForWhatIsLessUrgent) {
+TEST(PoolsTest, UrgentJobsDoNotWaitForLessUrgentOnes) {
   PoolLoad Load;
   Load.Capacity = 1000;
   Load.Backlog = {10ms, 20ms, 40ms};
@@ -69,9 +69,10 @@
   EXPECT_EQ(readPoolLoad(Json::Value("none")), PoolLoad());
 }
 
-// The pattern: wide urgent jobs in pools of a dozen workers that are in use by
-// two thirds. One that has room for a part of the job only makes it wait.
-TEST(PoolsTest, AWideJobWaitsWhereOnlyAPartOfItHasRoom) {
+// Guards against sending a wide urgent job to a pool that has free capacity for
+// a part of it only, where it waits; seen with pools of a dozen workers at two
+// thirds of their capacity.
+TEST(PoolsTest, AWideJobWaitsWhereOnlyAPartOfItFits) {
   PoolLoad Load;
   Load.Capacity = 200'000;
   Load.Used = 150'000;
@@ -80,8 +81,8 @@
   EXPECT_LT(expectedWait(Load, 0, 54'000), 60ms);
 }
 
-// An owner knows its room better than entries do: what it refuses may fit
-// elsewhere.
+// An owner knows its free capacity better than entries do: a job that it
+// refuses may fit elsewhere.
 TEST(PoolsTest, AJobThatItsPoolRefusesIsTakenToAnother) {
   EntryFake Fake(2, 4);
   Fake.Workers.TaskTime = 700ms;
@@ -92,7 +93,7 @@
   Fake.run(1200ms);
   ASSERT_TRUE(served(First) && served(Second));
   std::vector<std::shared_ptr<Submitted>> Jobs;
-  // This data centre has room for eight tasks, the other one too.
+  // Each of the two data centres has capacity for eight tasks.
   for (int I = 0; I < 12; ++I) {
     Jobs.push_back(Fake.submit(0, "job" + std::to_string(I), 1));
     Fake.run(30ms);
@@ -167,9 +168,9 @@
   EXPECT_EQ(Fake.Workers.Starts, Jobs.size());
 }
 
-// What an entry sent while the owner stood still must not start afterwards: its
-// caller may have come back and be served by another pool.
-TEST(PoolsTest, AnOwnerStartsNothingThatHasLainForLong) {
+// A job that an entry sent while the owner was paused must not start
+// afterwards: its caller may have sent it again and be served by another pool.
+TEST(PoolsTest, AnOwnerStartsNothingThatWasDelayedForLong) {
   EntryFake Fake(1, 2);
   Fake.settleByRack();
   const Endpoint &Owner = Fake.Entries[0].At;
@@ -199,9 +200,10 @@
   EXPECT_EQ(Fake.Workers.Starts, 1U);
 }
 
-// The word that a caller has gone is lost in a connection that has gone silent.
-// Its job must not run on: the caller comes back at another pool.
-TEST(PoolsTest, AnOwnerIsToldAgainThatACallerHasGone) {
+// The message that a caller has disconnected is lost on a broken connection.
+// Its job must not go on running: the caller sends it again, perhaps to another
+// pool.
+TEST(PoolsTest, AnOwnerIsNotifiedAgainThatACallerHasDisconnected) {
   EntryFake Fake(2, 4);
   Fake.Workers.TaskTime = 2s;
   Fake.settleByRack();
@@ -225,8 +227,8 @@
   EXPECT_EQ(Fake.Workers.running(), 0U);
 }
 
-// A job that found no room for so long starts nothing any more: its caller may
-// have come back elsewhere.
+// A job that found no free capacity for this long starts no task any more: its
+// caller may have sent it again elsewhere.
 TEST(PoolsTest, AJobThatHasWaitedForASecondStartsNothing) {
   EntryFake Fake(1, 2);
   Fake.Workers.TaskTime = 1200ms;
@@ -242,9 +244,9 @@
     EXPECT_TRUE(Job->Answer);
 }
 
-// A request that waited in a socket while its entry stood still: its caller may
-// be served elsewhere by now.
-TEST(PoolsTest, AnEntryThatStoodStillStartsNothingOld) {
+// A request may have waited in a socket while its entry was paused, and its
+// caller may be served elsewhere by now.
+TEST(PoolsTest, AnEntryThatWasPausedStartsNoOldRequests) {
   EntryFake Fake(1, 2);
   Fake.settleByRack();
   Fake.Clock.advance(1s);
@@ -258,7 +260,7 @@
   EXPECT_TRUE(served(New));
 }
 
-// Others believe in a claim whose maker is gone and follow nobody.
+// Other entries remember a claim whose claimant has ended, and follow no owner.
 TEST(PoolViewTest, AnOwnerOutbidsAClaimWhoseMakerIsSilent) {
   Time Start{10s};
   PeerTable Peers;
@@ -273,8 +275,9 @@
   EXPECT_GT(View.Owner.Token, FencingToken(200));
 }
 
-// Others remember a claim that its maker has given up, and follow nobody: the
-// owner, which has heard of it from them, has a lower token.
+// Other entries remember a claim that its claimant has released, and follow no
+// owner: the present one, which learned of the claim from them, has a lower
+// token.
 TEST(PoolViewTest, AnOwnerOutbidsAClaimThatNobodyHolds) {
   Time Start{10s};
   PeerTable Peers;
@@ -342,7 +345,7 @@
     EXPECT_TRUE(served(Job));
 }
 
-// The one pool is given up with what runs in it.
+// The single pool is released together with the tasks that run in it.
 TEST(PoolsTest, TheDivisionUnderLoadRunsNothingTwice) {
   EntryFake Fake(2, 4);
   Fake.Workers.TaskTime = 700ms;
@@ -360,13 +363,11 @@
   EXPECT_TRUE(served(After));
 }
 
-// What was seen: a job ran twice, at two pools at the same time. When
-// connections of callers are reset, a request that was on its way arrives, and
-// the caller, which cannot know, sends it again at once: two entries of one
-// data centre got the same job 2 to 14 ms apart, and each chose a pool by the
-// load that it had heard of. The logs of both entries and of both owners showed
-// it, each owner with `maybe_taken=false`. No wait can prevent that, since
-// neither entry knows of the other.
+// Guards against a job that runs at two pools at the same time. When a caller's
+// connection is reset, a request that was under way may still arrive, and the
+// caller sends it again at once. Two entries of one data centre then get the
+// same job 2 to 14 ms apart, and each chooses a pool by the load that it knows.
+// No delay can prevent that, since neither entry knows of the other.
 void sendTwiceAtOnce(std::uint64_t Seed) {
   EntryFake Fake(4, 8, Seed);
   Fake.Workers.TaskTime = 150ms;
@@ -394,8 +395,9 @@
     sendTwiceAtOnce(Seed);
 }
 
-/// Half a minute of jobs, cuts, crashes, late orders and failing tasks. Callers
-/// of an entry that has died come back at another one.
+/// Random jobs, network partitions, crashes, late orders and failing tasks in
+/// 30 steps. Callers of an entry that has crashed send their jobs to another
+/// one.
 class RandomPlay {
 public:
   RandomPlay(EntryFake &Fake, std::uint64_t Seed) : Fake_(Fake), Rng_(Seed) {
@@ -421,7 +423,7 @@
     Fake_.run(5s);
   }
 
-  /// Whether every entry serves once all trouble is over.
+  /// Whether every entry serves once all faults are over.
   bool allServe() {
     Fake_.Faults.LatePercent = 0;
     Fake_.Workers.FailPercent = 0;
@@ -500,9 +502,9 @@
 };
 
 // Seeds that once showed a fault. The first two: an entry that was killed and
-// was back within 0.1 s kept the jobs of its earlier process alive. The third:
-// an owner let go of a pool that it did not know yet, and the next one renewed
-// the leases of what a dead owner had left there.
+// restarted within 0.1 s kept the jobs of its earlier process alive. The third:
+// an owner released a pool before it knew what ran there, and the next one
+// renewed the leases of runs that a dead owner had left.
 TEST(PoolsTest, SeedsThatFailed) {
   for (std::uint64_t Seed : {417794U, 54700U, 589549U}) {
     EntryFake Fake(2, 4, Seed);
@@ -530,9 +532,9 @@
   EXPECT_TRUE(Fake.Workers.Doubled.empty()) << "seed " << Seed;
 }
 
-// The pattern: all processes are lost at once, and control does not know all
-// workers for some seconds. A new owner need not wait for leases that ended
-// while no process was there.
+// All processes are lost at once, and control does not know all workers for
+// some seconds. A new owner need not wait for leases that ended while no
+// process was running.
 TEST(PoolsTest, AfterALossOfAllHomesAreReadyOnceOldLeasesAreOver) {
   EntryFake Fake(4, 12);
   Random Rng(1);
@@ -540,8 +542,8 @@
   Fake.ListIsPartial = true;
   Fake.ListTerm = 2;
   Fake.losePower(Rng);
-  // What owners of other data centres may have had is over 1.52 s after the
-  // last process has started. Claims come in time before that.
+  // The jobs that owners of other data centres may have had have ended 1.52 s
+  // after the last process has started. Claims arrive in time before that.
   Fake.run(1600ms);
   std::vector<std::shared_ptr<Submitted>> Jobs;
   for (std::size_t I = 0; I < 24; ++I)
--- a/src/jobs/tests/takeovertest.cpp
+++ b/src/jobs/tests/takeovertest.cpp
@@ -1,9 +1,10 @@
 //===- takeovertest.cpp - What a new owner does not know yet --------------===//
 //
-// An owner is lost while its tasks run, and the next one begins with a list of
+// An owner is lost while its tasks run, and the next one starts with a list of
 // workers that lacks some of them: a leader that has just started, or an entry
-// that follows one. Tasks of the earlier owner must not start before its leases
-// are over, and start at once where all workers are known and have answered.
+// that follows such a leader. Tasks of the earlier owner must not start before
+// its leases have expired, and start at once where all workers are known and
+// have answered.
 //
 //===----------------------------------------------------------------------===//
 
@@ -45,7 +46,7 @@
   EXPECT_TRUE(Workers.Doubled.empty());
 }
 
-TEST_F(TakeOverTest, AStoredJobStartsElsewhereOnceTheLeaseIsOver) {
+TEST_F(TakeOverTest, AStoredJobStartsElsewhereOnceTheLeaseHasExpired) {
   startAndLoseOwner(false);
   auto Next = owner(2, false, {Second});
   run(2s);
@@ -63,7 +64,7 @@
   EXPECT_EQ(Workers.Starts, 2U);
 }
 
-TEST_F(TakeOverTest, AHandedInJobIsLeftToAWorkerThatIsNotKnownYet) {
+TEST_F(TakeOverTest, AResubmittedJobIsLeftToAWorkerThatIsNotKnownYet) {
   startAndLoseOwner(true);
   auto Next = owner(2, false, {Second});
   run(10ms);
@@ -77,8 +78,8 @@
   EXPECT_TRUE(Workers.Doubled.empty());
 }
 
-// The next owner would not ask a worker that control does not name any more.
-TEST_F(TakeOverTest, AWorkerThatControlHasDroppedGetsNothingNew) {
+// The next owner would not query a worker that control no longer lists.
+TEST_F(TakeOverTest, AWorkerThatControlHasRemovedGetsNoNewTasks) {
   startAndLoseOwner(false);
   auto Next = owner(2, true, {First, Second});
   run(50ms);
@@ -96,12 +97,13 @@
   run(500ms);
   EXPECT_EQ(Workers.StartsOn[First.Worker], Before);
   EXPECT_EQ(Workers.StartsOn[Second.Worker], 2U);
-  // What ran there goes on.
+  // Its running tasks continue.
   EXPECT_EQ(Workers.running(), 3U);
 }
 
-// An entry counts on the list of a leader that has led for long, and not on
-// that of one that has just started and knows what has come so far.
+// An entry relies on the list of a leader that has led for long, and not on
+// that of one that has just started and knows only the workers announced so
+// far.
 TEST(WorkersKnownTest, ALeaderThatHasJustStartedDoesNotKnowAllWorkers) {
   EntryFake Fake(1, 4);
   ControlFake Control(Fake, "document");
