--- a/src/jobs/internal/poolview.cpp
+++ b/src/jobs/internal/poolview.cpp
@@ -151,9 +151,9 @@
     View.Ranked.push_back(View.Self);
 }
 
-void noteReleasing(PoolView &View, const Endpoint &Peer, bool LetsGo,
+void noteReleasing(PoolView &View, const Endpoint &Peer, bool Releasing,
                    Time Now) {
-  if (LetsGo)
+  if (Releasing)
     View.Statements[Peer].ReleasingAt = Now;
   else if (auto Found = View.Statements.find(Peer);
            Found != View.Statements.end())
--- a/src/jobs/internal/poolview.h
+++ b/src/jobs/internal/poolview.h
@@ -160,7 +160,8 @@
                   Time Now);
 
 /// Note what \p Peer states about itself and this pool.
-void noteReleasing(PoolView &View, const Endpoint &Peer, bool LetsGo, Time Now);
+void noteReleasing(PoolView &View, const Endpoint &Peer, bool Releasing,
+                   Time Now);
 void noteSettled(PoolView &View, const Endpoint &Peer, bool Settled);
 void noteFirstClaim(PoolView &View, const Endpoint &Peer, FencingToken First);
 /// Notes a claim that \p Speaker passed on. Returns whether the owner changed;
--- a/src/jobs/internal/registration.cpp
+++ b/src/jobs/internal/registration.cpp
@@ -39,6 +39,7 @@
 /// owner is replaced within that time.
 constexpr Duration RetryAfterNoRegistrar = std::chrono::seconds(1);
 
+/// The answer for a job that was certainly not accepted here.
 Error refusedError(const char *Reason) {
   return Error{ErrorCode::Refused, Reason};
 }
@@ -152,37 +153,37 @@
   RegistrarRequests &State = RegistrarRequests_[Home];
   if (State.Serial == Serial)
     State.UnderWay = false;
-  auto Answered = attempt([&]() -> RetVal<RegistrarReply> {
+  auto Parsed = attempt([&]() -> RetVal<RegistrarReply> {
     if (!Result)
       return fail(Result.error());
     return wire::readRegistrarWord(*Result);
   });
-  if (!Answered || Answered->Answers.size() != Asked.size()) {
+  if (!Parsed || Parsed->Answers.size() != Asked.size()) {
     logEvent(LogLevel::Warning, Module, "registrar_request_failed",
              {{"home", Home},
               {"jobs", Asked.size()},
-              {"reason", Answered ? "malformed answer"
-                                  : Answered.error().Message.c_str()}});
+              {"reason",
+               Parsed ? "malformed answer" : Parsed.error().Message.c_str()}});
     return handleRegistrarFailure(Home, Releases);
   }
   FencingToken &AcceptedToken = AcceptedTokens_[Home];
   const PoolMember *HomeMember = findPool(Home);
   if (HomeMember && HomeMember->isCandidate())
     AcceptedToken = std::max(AcceptedToken, HomeMember->view().LastClaim);
-  if (Answered->Token < AcceptedToken) {
+  if (Parsed->Token < AcceptedToken) {
     logEvent(LogLevel::Warning, Module, "registrar_outdated",
              {{"home", Home},
               {"jobs", Asked.size()},
-              {"token", Answered->Token.value()},
+              {"token", Parsed->Token.value()},
               {"heeded", AcceptedToken.value()}});
     return handleRegistrarFailure(Home, Releases);
   }
   State.FailingSince.reset();
-  AcceptedToken = Answered->Token;
+  AcceptedToken = Parsed->Token;
   for (std::size_t I = 0; I < Asked.size(); ++I) {
     if (Incoming_.count(Asked[I]) != 0)
-      handleClaimAnswer(Asked[I], Answered->Answers[I]);
-    else if (Answered->Answers[I].Pool == Asked[I]->Pool)
+      handleClaimAnswer(Asked[I], Parsed->Answers[I]);
+    else if (Parsed->Answers[I].Pool == Asked[I]->Pool)
       releaseClaim(*Asked[I]);
   }
   askRegistrar(Home);
