--- a/src/jobs/internal/intake.cpp
+++ b/src/jobs/internal/intake.cpp
@@ -215,7 +215,7 @@
 }
 
 bool Scheduler::isStale(const ActiveTransient &Job, Time Now) {
-  return Now >= Job.Since - Job.Age + BeforeCallersReturn;
+  return Now >= Job.Since - Job.Age + MaxStartDelay;
 }
 
 bool Scheduler::isHopeless(const ActiveTransient &Job, Time Now) {
--- a/src/jobs/tests/jobregistertest.cpp
+++ b/src/jobs/tests/jobregistertest.cpp
@@ -1,4 +1,4 @@
-//===- jobregistertest.cpp - Which pool a job goes to ---------------------===//
+//===- jobregistertest.cpp - Which pool runs a job ------------------------===//
 
 #include "jobs/internal/jobregister.h"
 
@@ -35,8 +35,8 @@
             (ClaimAnswer{East, false}));
 }
 
-// A refusal that one sending has met says nothing of another sending.
-TEST(JobRegisterTest, AClaimMovesOnlyOnceItsOwnerGivesItBack) {
+// The refusal of one submission must not affect another submission of the job.
+TEST(JobRegisterTest, AClaimMovesOnlyOnceItsOwnerReleasesIt) {
   JobRegister Register = newRegister();
   Register.claim(Job, owner(East), Time());
   EXPECT_EQ(Register.claim(Job, owner(West), Time(5ms)).Pool, East);
@@ -47,7 +47,7 @@
   EXPECT_EQ(Register.claim(Job, owner(East), Time(8ms)).Pool, West);
 }
 
-TEST(JobRegisterTest, AnOwnerThatHasAskedAgainKeepsItsClaim) {
+TEST(JobRegisterTest, AnOwnerThatHasClaimedAgainKeepsItsClaim) {
   JobRegister Register = newRegister();
   Register.claim(Job, owner(East, Earlier, 1), Time());
   Register.claim(Job, owner(East, Earlier, 2), Time(1ms));
@@ -66,81 +66,81 @@
 
 TEST(JobRegisterTest, ItIsCompleteOnceAllOwnersHaveReported) {
   JobRegister Register = newRegister();
-  EXPECT_FALSE(Register.completeWith({East, West}, {North}, Time(1ms)));
-  Register.takeReport(owner(East), {Job}, Time(1ms));
-  Register.takeReport(owner(North), {}, Time(1ms));
-  EXPECT_FALSE(Register.completeWith({East, West}, {North}, Time(2ms)));
-  Register.takeReport(owner(West), {}, Time(3ms));
-  EXPECT_TRUE(Register.completeWith({East, West}, {North}, Time(3ms)));
+  EXPECT_FALSE(Register.updateCompleteness({East, West}, {North}, Time(1ms)));
+  Register.applyReport(owner(East), {Job}, Time(1ms));
+  Register.applyReport(owner(North), {}, Time(1ms));
+  EXPECT_FALSE(Register.updateCompleteness({East, West}, {North}, Time(2ms)));
+  Register.applyReport(owner(West), {}, Time(3ms));
+  EXPECT_TRUE(Register.updateCompleteness({East, West}, {North}, Time(3ms)));
   EXPECT_TRUE(Register.isComplete());
   EXPECT_EQ(Register.claim(Job, owner(West), Time(4ms)).Pool, East);
   Register.release(Job, owner(East, Earlier, 5));
   EXPECT_EQ(Register.claim(Job, owner(West), Time(5ms)).Pool, West);
 }
 
-// What they had is over by then.
+// The jobs that they had have ended by then.
 TEST(JobRegisterTest, ItWaitsForSilentOwnersForAWhileOnly) {
   JobRegister Far = newRegister();
-  Far.takeReport(owner(East), {}, Time());
-  EXPECT_FALSE(Far.completeWith({East}, {North}, Time(1519ms)));
-  EXPECT_TRUE(Far.completeWith({East}, {North}, Time(1520ms)));
+  Far.applyReport(owner(East), {}, Time());
+  EXPECT_FALSE(Far.updateCompleteness({East}, {North}, Time(1519ms)));
+  EXPECT_TRUE(Far.updateCompleteness({East}, {North}, Time(1520ms)));
   JobRegister Near = newRegister();
-  EXPECT_FALSE(Near.completeWith({East}, {}, Time(2999ms)));
-  EXPECT_TRUE(Near.completeWith({East}, {}, Time(3s)));
+  EXPECT_FALSE(Near.updateCompleteness({East}, {}, Time(2999ms)));
+  EXPECT_TRUE(Near.updateCompleteness({East}, {}, Time(3s)));
 }
 
-// Its pool may run what an earlier owner had.
+// Its pool may still run jobs of an earlier owner.
 TEST(JobRegisterTest, ItWaitsLongerForAnOwnerThatDoesNotKnowYet) {
   JobRegister Register = newRegister();
-  Register.takeReport(owner(East), {}, Time());
-  Register.noteNotYet(Time(1500ms));
-  EXPECT_FALSE(Register.completeWith({East}, {North}, Time(1999ms)));
-  Register.takeReport(owner(North), {Job}, Time(1999ms));
-  EXPECT_TRUE(Register.completeWith({East}, {North}, Time(1999ms)));
+  Register.applyReport(owner(East), {}, Time());
+  Register.noteNotReady(Time(1500ms));
+  EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(1999ms)));
+  Register.applyReport(owner(North), {Job}, Time(1999ms));
+  EXPECT_TRUE(Register.updateCompleteness({East}, {North}, Time(1999ms)));
   EXPECT_EQ(Register.claim(Job, owner(West), Time(2s)).Pool, North);
 }
 
 TEST(JobRegisterTest, AReportedClaimOutlivesAnOlderRelease) {
   JobRegister Register = newRegister();
-  Register.takeReport(owner(East, Earlier, 7), {Job}, Time());
+  Register.applyReport(owner(East, Earlier, 7), {Job}, Time());
   Register.release(Job, owner(East, Earlier, 6));
   EXPECT_EQ(Register.claim(Job, owner(West), Time(1ms)).Pool, East);
   Register.release(Job, owner(East, Earlier, 8));
   EXPECT_EQ(Register.claim(Job, owner(West), Time(2ms)).Pool, West);
 }
 
-TEST(JobRegisterTest, ItWaitsForNobodyWhoseEntriesAreLongGone) {
+TEST(JobRegisterTest, ItDoesNotWaitForEntriesThatHaveLongEnded) {
   JobRegister Register(FencingToken(20), Time(10s));
-  Register.takeReport(owner(East), {}, Time(10s));
-  EXPECT_FALSE(Register.completeWith({East}, {North}, Time(10s)));
-  Register.noteEntriesGone(Time(9s));
-  EXPECT_FALSE(Register.completeWith({East}, {North}, Time(10519ms)));
-  EXPECT_TRUE(Register.completeWith({East}, {North}, Time(10520ms)));
+  Register.applyReport(owner(East), {}, Time(10s));
+  EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(10s)));
+  Register.noteEntriesEnded(Time(9s));
+  EXPECT_FALSE(Register.updateCompleteness({East}, {North}, Time(10519ms)));
+  EXPECT_TRUE(Register.updateCompleteness({East}, {North}, Time(10520ms)));
 }
 
-TEST(JobRegisterTest, ClaimsAreForgottenAfterTenSeconds) {
+TEST(JobRegisterTest, ClaimsExpireAfterTenSeconds) {
   JobRegister Register = newRegister();
   for (int I = 0; I < 3000; ++I)
     Register.claim(JobId("job" + std::to_string(I)), owner(East),
                    Time(I * 10ms));
   EXPECT_LE(Register.size(), 1001U);
   Register.claim(Job, owner(East), Time(29s));
-  // A released one does not take its successor along.
+  // The expiry of a released claim does not remove its successor.
   Register.release(Job, owner(East));
   Register.claim(Job, owner(West), Time(31s));
   EXPECT_EQ(Register.claim(Job, owner(East), Time(40s)).Pool, West);
   EXPECT_EQ(Register.claim(Job, owner(East), Time(42s)).Pool, East);
 }
 
-RC_GTEST_PROP(JobRegisterProperties, APoolThatGoesMovesItsOwnJobsOnly, ()) {
+RC_GTEST_PROP(JobRegisterProperties, RemovingAPoolMovesItsOwnJobsOnly, ()) {
   std::vector<PoolName> Pools;
   for (int I = 1; I <= 9; ++I)
     Pools.emplace_back("rack" + std::to_string(I));
   JobId Any(std::to_string(*rc::gen::arbitrary<std::uint64_t>()));
   std::optional<PoolName> Before = homeOf(Any, Pools);
-  auto Gone = *rc::gen::inRange<std::size_t>(0, Pools.size());
-  PoolName Lost = Pools[Gone];
-  Pools.erase(Pools.begin() + std::ptrdiff_t(Gone));
+  auto Removed = *rc::gen::inRange<std::size_t>(0, Pools.size());
+  PoolName Lost = Pools[Removed];
+  Pools.erase(Pools.begin() + std::ptrdiff_t(Removed));
   RC_ASSERT(Before == Lost || homeOf(Any, Pools) == Before);
 }
 
