--- a/src/jobs/evacuations.h
+++ b/src/jobs/evacuations.h
@@ -1,15 +1,15 @@
-//===- evacuations.h - Data centres that are to be empty --------*- C++ -*-===//
+//===- evacuations.h - Evacuation of data centres ---------------*- C++ -*-===//
 //
-// Operators evacuate a data centre before work on it: its workers get no more
-// tasks, what runs there ends undisturbed, and its entries serve their callers
-// with workers elsewhere. The orders are part of the replicated state.
+// Operators evacuate a data centre before maintenance: its workers get no new
+// tasks, tasks that run there finish undisturbed, and its entries serve their
+// callers with workers elsewhere. The orders are part of the replicated state.
 //
-// An order may be held up on its way to the leader while the operator, who got
+// An order may be delayed on its way to the leader while the operator, who got
 // no answer, gives the opposite one. So each order carries the number of the
-// data centre's last order, as the control VM knew it that took it from the
-// operator, and changes nothing if another one has been recorded since. An
-// order for the state that is there already is recorded too: an opposite one
-// that is still on its way has no effect after it.
+// data centre's last order that was known to the control VM that accepted it,
+// and has no effect if another order has been recorded since. An order for the
+// state that already holds is recorded too, so that an opposite one still in
+// flight has no effect after it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,18 +25,18 @@
 
 namespace geraniumbay::jobs {
 
-/// Numbers the recorded orders, from 1; 0 is before the first.
+/// Numbers the recorded orders from 1; 0 stands for none.
 using EvacuationNumber = StrongId<struct EvacuationNumberTag, std::uint64_t>;
 
 /// An operator's order about one data centre.
 struct EvacuationOrder {
   DataCentreId DataCentre;
-  /// Evacuate it; else the evacuation ends.
+  /// True to evacuate, false to end the evacuation.
   bool Evacuate = true;
-  /// The data centre's last order when this one was given.
+  /// The data centre's last recorded order when this one was given.
   EvacuationNumber Base;
-  /// When it was given, by the clock of the control VM that took it.
-  WallMillis At = 0;
+  /// By the clock of the control VM that accepted the order.
+  WallMillis OrderedAt = 0;
 
   bool operator==(const EvacuationOrder &) const = default;
 };
@@ -45,7 +45,7 @@
 struct EvacuationRecord {
   bool Evacuated = false;
   EvacuationNumber Number;
-  WallMillis At = 0;
+  WallMillis OrderedAt = 0;
 
   bool operator==(const EvacuationRecord &) const = default;
 };
@@ -58,19 +58,19 @@
   bool operator==(const Evacuations &) const = default;
 };
 
-/// Whether recording \p Order would leave the state as it wants: no opposite
-/// order has been recorded since it was given.
+/// Whether the state is as \p Order wants once it is recorded, that is, no
+/// opposite order has been recorded since it was given.
 bool takesEffect(const Evacuations &State, const EvacuationOrder &Order);
 
 /// Records \p Order if it takes effect.
 void apply(Evacuations &State, const EvacuationOrder &Order);
 
-/// The last order about \p DataCentre; number 0 if there was none.
-EvacuationRecord recordOf(const Evacuations &State,
-                          const DataCentreId &DataCentre);
+/// The last recorded order about \p DataCentre; its number is 0 if there is
+/// none.
+EvacuationRecord findEvacuationRecord(const Evacuations &State,
+                                      const DataCentreId &DataCentre);
 
-/// The data centres that are evacuated now.
-std::set<DataCentreId> evacuatedOf(const Evacuations &State);
+std::set<DataCentreId> evacuatedDataCentres(const Evacuations &State);
 
 } // namespace geraniumbay::jobs
 
--- a/src/jobs/internal/acknowledge.h
+++ b/src/jobs/internal/acknowledge.h
@@ -1,7 +1,6 @@
 //===- acknowledge.h - Answers that carry no value --------------*- C++ -*-===//
 //
-// Between the acknowledgements of the job service and the messages that bring
-// and answer them.
+// Adapters between the job service's acknowledgements and RPC replies.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,16 +12,17 @@
 
 namespace geraniumbay::jobs {
 
-/// Answers a message once what it asked for is acknowledged, or has failed.
+/// Returns an acknowledgement callback that sends the RPC reply.
 inline IJobControl::Acknowledge acknowledgeBy(const IRpcServer::Reply &Answer) {
-  return [Answer](const Outcome<Done> &Was) {
-    if (Was)
+  return [Answer](const Outcome<Done> &Result) {
+    if (Result)
       return Answer(Json::Value(Json::objectValue));
-    Answer(Was.error());
+    Answer(Result.error());
   };
 }
 
-/// Acknowledges once a message was answered, or has failed.
+/// Returns an RPC callback that passes success or error on and drops the
+/// reply's value.
 inline std::function<void(Outcome<Json::Value>)>
 withoutValue(const IJobControl::Acknowledge &Acknowledged) {
   return [Acknowledged](const Outcome<Json::Value> &Result) {
--- a/src/jobs/internal/announcementrelay.cpp
+++ b/src/jobs/internal/announcementrelay.cpp
@@ -1,6 +1,6 @@
 //===- announcementrelay.cpp - Announcements at a follower ----------------===//
 //
-// What counts as news.
+// Which announcements have to be forwarded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,18 +16,18 @@
   Relay.Leader = Leader;
 }
 
-bool isNews(const AnnouncementRelay &Relay, const WorkerInfo &Info) {
-  auto Found = Relay.Known.find(Info.Worker);
-  return Found == Relay.Known.end() || Found->second != digestOf(Info);
+bool isNewToLeader(const AnnouncementRelay &Relay, const WorkerInfo &Info) {
+  auto Found = Relay.LeaderDigests.find(Info.Worker);
+  return Found == Relay.LeaderDigests.end() || Found->second != digestOf(Info);
 }
 
-void noteKnown(AnnouncementRelay &Relay, const WorkerInfo &Info) {
-  Relay.Known[Info.Worker] = digestOf(Info);
+void markKnown(AnnouncementRelay &Relay, const WorkerInfo &Info) {
+  Relay.LeaderDigests[Info.Worker] = digestOf(Info);
 }
 
-void noteUnknown(AnnouncementRelay &Relay, const WorkerId &Worker) {
-  Relay.Known.erase(Worker);
-  Relay.Heard.erase(Worker);
+void markUnknown(AnnouncementRelay &Relay, const WorkerId &Worker) {
+  Relay.LeaderDigests.erase(Worker);
+  Relay.HeardWorkers.erase(Worker);
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/announcementrelay.h
+++ b/src/jobs/internal/announcementrelay.h
@@ -1,10 +1,10 @@
 //===- announcementrelay.h - Announcements at a follower --------*- C++ -*-===//
 //
 // Thousands of workers announce themselves every second or two, and nearly all
-// of these announcements say nothing new. A control VM that does not lead
-// acknowledges those itself, and tells the leader from time to time which
-// workers it has heard; only news is passed on at once. So the leader's work
-// grows with what changes, and each control VM carries its share of the rest.
+// of these announcements change nothing. A follower acknowledges those itself
+// and reports to the leader periodically which workers it has heard; only
+// changes are forwarded at once. So the leader's load grows with the number of
+// changes, and each control VM carries its share of the rest.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,29 +18,29 @@
 namespace geraniumbay::jobs {
 
 struct AnnouncementRelay {
-  /// The leader that the rest is about.
+  /// The leader that the other fields refer to.
   std::optional<Endpoint> Leader;
-  /// What the leader is known to have of each worker, as a digest. It may have
-  /// lost what a leader before it had.
-  std::unordered_map<WorkerId, std::uint64_t> Known;
-  /// Workers heard here since the leader was told.
-  std::set<WorkerId> Heard;
+  /// Digests of the announcements that this leader is known to have. A new
+  /// leader may lack what the previous one had.
+  std::unordered_map<WorkerId, std::uint64_t> LeaderDigests;
+  /// Workers heard here since the last report to the leader.
+  std::set<WorkerId> HeardWorkers;
 };
 
-/// How often the leader is told who was heard: a few times within
-/// WorkerSilence.
-constexpr Duration HeardInterval = std::chrono::seconds(2);
+/// How often heard workers are reported to the leader: a few times within
+/// WorkerTimeout.
+constexpr Duration HeardReportInterval = std::chrono::seconds(2);
 
-/// Forgets what an earlier leader knew.
+/// Resets the relay if the leader has changed.
 void followLeader(AnnouncementRelay &Relay,
                   const std::optional<Endpoint> &Leader);
 
-/// Whether the leader may not know what \p Info says.
-bool isNews(const AnnouncementRelay &Relay, const WorkerInfo &Info);
-/// Notes that the leader has \p Info.
-void noteKnown(AnnouncementRelay &Relay, const WorkerInfo &Info);
-/// Notes that the leader does not have the worker.
-void noteUnknown(AnnouncementRelay &Relay, const WorkerId &Worker);
+/// Whether the leader may lack the content of \p Info.
+bool isNewToLeader(const AnnouncementRelay &Relay, const WorkerInfo &Info);
+/// Records that the leader has \p Info.
+void markKnown(AnnouncementRelay &Relay, const WorkerInfo &Info);
+/// Records that the leader does not have the worker.
+void markUnknown(AnnouncementRelay &Relay, const WorkerId &Worker);
 
 } // namespace geraniumbay::jobs
 
--- a/src/jobs/internal/entrysync.cpp
+++ b/src/jobs/internal/entrysync.cpp
@@ -137,7 +137,7 @@
     for (const auto &[Id, Known] : Old->directory().Workers) {
       PoolName New = poolOf(Plan_, Groups_, Known.Info);
       announce(memberOf(New, Known.Info.DataCentre).directory(), Known.Info,
-               Known.Heard);
+               Known.LastHeardAt);
       WorkerPools_[Id] = New;
     }
   // Of other data centres this entry hears the pools only.
@@ -163,7 +163,7 @@
   if (!Told || Told->Last <= EvacuationsKnown_)
     return;
   EvacuationsKnown_ = Told->Last;
-  Evacuated_ = evacuatedOf(*Told);
+  Evacuated_ = evacuatedDataCentres(*Told);
   std::string Names;
   for (const DataCentreId &Each : Evacuated_)
     Names += (Names.empty() ? "" : ",") + Each.value();
--- a/src/jobs/internal/evacuations.cpp
+++ b/src/jobs/internal/evacuations.cpp
@@ -1,6 +1,6 @@
-//===- evacuations.cpp - Data centres that are to be empty ----------------===//
+//===- evacuations.cpp - Evacuation of data centres -----------------------===//
 //
-// The state machine of the orders.
+// The state machine of evacuation orders.
 //
 //===----------------------------------------------------------------------===//
 
@@ -8,14 +8,14 @@
 
 namespace geraniumbay::jobs {
 
-EvacuationRecord recordOf(const Evacuations &State,
-                          const DataCentreId &DataCentre) {
+EvacuationRecord findEvacuationRecord(const Evacuations &State,
+                                      const DataCentreId &DataCentre) {
   auto Found = State.Records.find(DataCentre);
   return Found == State.Records.end() ? EvacuationRecord() : Found->second;
 }
 
 bool takesEffect(const Evacuations &State, const EvacuationOrder &Order) {
-  EvacuationRecord Now = recordOf(State, Order.DataCentre);
+  EvacuationRecord Now = findEvacuationRecord(State, Order.DataCentre);
   return Now.Evacuated == Order.Evacuate || Now.Number == Order.Base;
 }
 
@@ -24,14 +24,15 @@
     return;
   EvacuationRecord &Record = State.Records[Order.DataCentre];
   State.Last = EvacuationNumber(State.Last.value() + 1);
-  // Operators want to know since when it has been evacuated.
+  // A repeated order keeps the time: operators are shown since when the data
+  // centre has been evacuated.
   if (Record.Evacuated != Order.Evacuate)
-    Record.At = Order.At;
+    Record.OrderedAt = Order.OrderedAt;
   Record.Evacuated = Order.Evacuate;
   Record.Number = State.Last;
 }
 
-std::set<DataCentreId> evacuatedOf(const Evacuations &State) {
+std::set<DataCentreId> evacuatedDataCentres(const Evacuations &State) {
   std::set<DataCentreId> Result;
   for (const auto &[DataCentre, Record] : State.Records)
     if (Record.Evacuated)
--- a/src/jobs/internal/evacuationservice.cpp
+++ b/src/jobs/internal/evacuationservice.cpp
@@ -1,7 +1,7 @@
 //===- evacuationservice.cpp - Evacuations at a control VM ----------------===//
 //
-// Takes operators' orders, has them recorded by the leader, and tells entries
-// and operators of them.
+// Accepts operators' orders, has them recorded by the leader, and reports them
+// to entries and operators.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,18 +20,18 @@
 
 constexpr const char *Module = "jobs";
 
-const char *wordFor(bool Evacuate) { return Evacuate ? "evacuate" : "end"; }
+const char *orderName(bool Evacuate) { return Evacuate ? "evacuate" : "end"; }
 
 } // namespace
 
-void JobService::offerEvacuations() {
-  Needs_.Server.method(wire::method::Evacuations,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         listEvacuations(Params, Answer);
-                       });
-  Needs_.Server.method(wire::method::Evacuate, [this](const Json::Value &Params,
-                                                      const Reply &Answer) {
-    // An operator's tool names no base; another control VM does.
+void JobService::registerEvacuationMethods() {
+  Deps_.Server.method(wire::method::Evacuations,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        listEvacuations(Params, Answer);
+                      });
+  Deps_.Server.method(wire::method::Evacuate, [this](const Json::Value &Params,
+                                                     const Reply &Answer) {
+    // Only orders that another control VM forwards carry a base.
     bool Forwarded = Params.isObject() && Params.isMember("base");
     Json::Value Full = Params;
     if (!Forwarded && Full.isObject())
@@ -40,12 +40,12 @@
     if (!Order)
       return Answer(Order.error());
     if (Forwarded)
-      return takeEvacuation(*Order, true, acknowledgeBy(Answer));
+      return handleEvacuationOrder(*Order, true, acknowledgeBy(Answer));
     orderEvacuation(Order->DataCentre, Order->Evacuate, acknowledgeBy(Answer));
   });
 }
 
-bool JobService::isKnown(const DataCentreId &DataCentre) const {
+bool JobService::isKnownDataCentre(const DataCentreId &DataCentre) const {
   bool HasEntry =
       std::any_of(Entries_.begin(), Entries_.end(), [&](const auto &Entry) {
         return Entry.first.DataCentre == DataCentre;
@@ -55,98 +55,103 @@
                   [&](const auto &Entry) {
                     return Entry.second.Info.DataCentre == DataCentre;
                   });
-  return HasEntry || HasWorker || Needs_.DataCentres.count(DataCentre) != 0 ||
-         Needs_.Store.Evacuated.Records.count(DataCentre) != 0;
+  return HasEntry || HasWorker || Deps_.DataCentres.count(DataCentre) != 0 ||
+         Deps_.Store.Evacuated.Records.count(DataCentre) != 0;
 }
 
 void JobService::orderEvacuation(const DataCentreId &DataCentre, bool Evacuate,
                                  Acknowledge Done) {
-  if (!isKnown(DataCentre)) {
+  if (!isKnownDataCentre(DataCentre)) {
     logEvent(LogLevel::Warning, Module, "evacuation_refused",
              {{"data_centre", DataCentre},
-              {"order", wordFor(Evacuate)},
+              {"order", orderName(Evacuate)},
               {"reason", "no data centre has this name"}});
     return Done(Error{ErrorCode::NotFound,
                       "no data centre is called " + DataCentre.value()});
   }
-  EvacuationOrder Order{DataCentre, Evacuate,
-                        recordOf(Needs_.Store.Evacuated, DataCentre).Number,
-                        Needs_.Clock.wallNow()};
-  takeEvacuation(Order, false, Done);
+  EvacuationOrder Order{
+      DataCentre, Evacuate,
+      findEvacuationRecord(Deps_.Store.Evacuated, DataCentre).Number,
+      Deps_.Clock.wallNow()};
+  handleEvacuationOrder(Order, false, Done);
 }
 
-void JobService::takeEvacuation(const EvacuationOrder &Order, bool Forwarded,
-                                const Acknowledge &Done) {
+void JobService::handleEvacuationOrder(const EvacuationOrder &Order,
+                                       bool Forwarded,
+                                       const Acknowledge &Done) {
   if (serves())
     return recordEvacuation(Order, Done);
-  passOn(wire::method::Evacuate, wire::write(Order), Forwarded,
-         withoutValue(Done));
+  forwardToLeader(wire::method::Evacuate, wire::write(Order), Forwarded,
+                  withoutValue(Done));
 }
 
 void JobService::recordEvacuation(const EvacuationOrder &Order,
                                   const Acknowledge &Done) {
-  const Error Overtaken{ErrorCode::Unavailable, "another order came first"};
-  if (!takesEffect(Needs_.Store.Evacuated, Order))
-    return Done(Overtaken);
+  const Error Superseded{ErrorCode::Unavailable, "another order came first"};
+  if (!takesEffect(Deps_.Store.Evacuated, Order))
+    return Done(Superseded);
   JobChanges Changes;
   Changes.Evacuations.push_back(Order);
-  Time Began = Needs_.Clock.now();
-  Needs_.Log.append(
-      wire::writeChanges(Changes), [this, Order, Overtaken, Began, Done](
-                                       const Outcome<geraniumbay::Done> &Was) {
+  Time StartedAt = Deps_.Clock.now();
+  Deps_.Log.append(
+      wire::writeChanges(Changes),
+      [this, Order, Superseded, StartedAt,
+       Done](const Outcome<geraniumbay::Done> &Committed) {
         EvacuationRecord Now =
-            recordOf(Needs_.Store.Evacuated, Order.DataCentre);
-        bool Obeyed = Was && Now.Evacuated == Order.Evacuate;
-        std::string Why = Was ? Overtaken.Message : Was.error().Message;
-        logEvent(Obeyed ? LogLevel::Info : LogLevel::Warning, Module,
+            findEvacuationRecord(Deps_.Store.Evacuated, Order.DataCentre);
+        bool TookEffect = Committed && Now.Evacuated == Order.Evacuate;
+        std::string Reason =
+            Committed ? Superseded.Message : Committed.error().Message;
+        logEvent(TookEffect ? LogLevel::Info : LogLevel::Warning, Module,
                  "evacuation_ordered",
                  {{"data_centre", Order.DataCentre},
-                  {"order", wordFor(Order.Evacuate)},
+                  {"order", orderName(Order.Evacuate)},
                   {"base", Order.Base.value()},
                   {"number", Now.Number.value()},
-                  {"outcome", Obeyed ? "recorded" : "failed"},
-                  {"reason", Obeyed ? "" : Why},
-                  {"commit_us", (Needs_.Clock.now() - Began).count()}});
-        followEvacuations();
-        if (!Was)
-          return Done(Was.error());
-        if (!Obeyed)
-          return Done(Overtaken);
+                  {"outcome", TookEffect ? "recorded" : "failed"},
+                  {"reason", TookEffect ? "" : Reason},
+                  {"commit_us", (Deps_.Clock.now() - StartedAt).count()}});
+        applyEvacuations();
+        if (!Committed)
+          return Done(Committed.error());
+        if (!TookEffect)
+          return Done(Superseded);
         Done(geraniumbay::Done{});
       });
 }
 
-void JobService::followEvacuations() {
-  const Evacuations &State = Needs_.Store.Evacuated;
-  if (State.Last == EvacuationsSeen_)
+void JobService::applyEvacuations() {
+  const Evacuations &State = Deps_.Store.Evacuated;
+  if (State.Last == AppliedEvacuations_)
     return;
-  EvacuationsSeen_ = State.Last;
-  Evacuated_ = evacuatedOf(State);
-  Needs_.Measured.set("geraniumbay_evacuated_data_centres",
-                      "Data centres that are evacuated.", {},
-                      static_cast<double>(Evacuated_.size()));
+  AppliedEvacuations_ = State.Last;
+  Evacuated_ = evacuatedDataCentres(State);
+  Deps_.Measured.set("geraniumbay_evacuated_data_centres",
+                     "Data centres that are evacuated.", {},
+                     static_cast<double>(Evacuated_.size()));
   if (Scheduler_)
     Scheduler_->evacuationsChanged();
 }
 
-void JobService::tellEvacuations(const Json::Value &Params,
-                                 Json::Value &Into) const {
-  const Evacuations &State = Needs_.Store.Evacuated;
+void JobService::addEvacuations(const Json::Value &Params,
+                                Json::Value &Response) const {
+  const Evacuations &State = Deps_.Store.Evacuated;
   if (EvacuationNumber(wire::numberOf(Params, "evacuations_change")) <
       State.Last)
-    Into["evacuations"] = wire::write(State);
+    Response["evacuations"] = wire::write(State);
 }
 
-void JobService::takeEvacuationWord(const Json::Value &Params,
-                                    const EntryPlace &From) {
-  EvacuationWord &Word = EvacuationWords_[From.At];
-  Word.Known = EvacuationNumber(wire::numberOf(Params, "evacuations_change"));
-  Word.Running.clear();
+void JobService::recordEvacuationReport(const Json::Value &Params,
+                                        const EntryPlace &From) {
+  EvacuationReport &Report = EvacuationReports_[From.At];
+  Report.LastKnown =
+      EvacuationNumber(wire::numberOf(Params, "evacuations_change"));
+  Report.Running.clear();
   const Json::Value &Running = Params["evacuated_running"];
   if (!Running.isObject())
     return;
   for (const std::string &Name : Running.getMemberNames())
-    Word.Running[DataCentreId(Name)] = wire::numberOf(Running, Name.c_str());
+    Report.Running[DataCentreId(Name)] = wire::numberOf(Running, Name.c_str());
 }
 
 Json::Value
@@ -155,13 +160,14 @@
   std::uint64_t Running = Scheduler_ ? Scheduler_->runningIn(DataCentre) : 0;
   Json::Value Result(Json::objectValue);
   Result["data_centre"] = DataCentre.value();
-  Result["since_ms"] = Json::Int64(Record.At);
+  Result["since_ms"] = Json::Int64(Record.OrderedAt);
   Result["entries_behind"] = Json::Value(Json::arrayValue);
-  for (const auto &[Entry, Heard] : Entries_) {
-    auto Found = EvacuationWords_.find(Entry.At);
-    if (Found == EvacuationWords_.end() || Found->second.Known < Record.Number)
+  for (const auto &[Entry, Contact] : Entries_) {
+    auto Found = EvacuationReports_.find(Entry.At);
+    if (Found == EvacuationReports_.end() ||
+        Found->second.LastKnown < Record.Number)
       Result["entries_behind"].append(Entry.At.text());
-    if (Found == EvacuationWords_.end())
+    if (Found == EvacuationReports_.end())
       continue;
     auto There = Found->second.Running.find(DataCentre);
     if (There != Found->second.Running.end())
@@ -173,16 +179,16 @@
 
 void JobService::listEvacuations(const Json::Value &Params,
                                  const Reply &Answer) {
-  // Only the leader hears from all entries.
+  // Only the leader gets the reports of all entries.
   if (!serves()) {
-    Json::Value Passed(Json::objectValue);
-    Passed["forwarded"] = true;
-    return passOn(wire::method::Evacuations, std::move(Passed),
-                  wire::isSet(Params, "forwarded"), Answer);
+    Json::Value ForwardParams(Json::objectValue);
+    ForwardParams["forwarded"] = true;
+    return forwardToLeader(wire::method::Evacuations, std::move(ForwardParams),
+                           wire::isSet(Params, "forwarded"), Answer);
   }
   Json::Value Result(Json::objectValue);
   Result["evacuations"] = Json::Value(Json::arrayValue);
-  for (const auto &[DataCentre, Record] : Needs_.Store.Evacuated.Records)
+  for (const auto &[DataCentre, Record] : Deps_.Store.Evacuated.Records)
     if (Record.Evacuated)
       Result["evacuations"].append(describeEvacuation(DataCentre, Record));
   Answer(std::move(Result));
--- a/src/jobs/internal/evacuationwire.cpp
+++ b/src/jobs/internal/evacuationwire.cpp
@@ -30,12 +30,12 @@
   return EvacuationNumber(Number);
 }
 
-RetVal<WallMillis> readAt(const Json::Value &From) {
+RetVal<WallMillis> readTime(const Json::Value &From) {
   BOOST_LEAF_AUTO(At, json::readUintOr(From, AtField, 0));
   return static_cast<WallMillis>(At);
 }
 
-Json::UInt64 writeAt(WallMillis At) {
+Json::UInt64 writeTime(WallMillis At) {
   return static_cast<Json::UInt64>(std::max<WallMillis>(At, 0));
 }
 
@@ -46,7 +46,7 @@
   Result[DataCentreField] = Value.DataCentre.value();
   Result[EvacuateField] = Value.Evacuate;
   Result[BaseField] = Json::UInt64(Value.Base.value());
-  Result[AtField] = writeAt(Value.At);
+  Result[AtField] = writeTime(Value.OrderedAt);
   return Result;
 }
 
@@ -56,7 +56,7 @@
   Result.DataCentre = DataCentreId(std::move(DataCentre));
   BOOST_LEAF_ASSIGN(Result.Evacuate, readEvacuate(From));
   BOOST_LEAF_ASSIGN(Result.Base, readNumber(From, BaseField));
-  BOOST_LEAF_ASSIGN(Result.At, readAt(From));
+  BOOST_LEAF_ASSIGN(Result.OrderedAt, readTime(From));
   return Result;
 }
 
@@ -69,7 +69,7 @@
     Each[DataCentreField] = DataCentre.value();
     Each[EvacuateField] = Record.Evacuated;
     Each[NumberField] = Json::UInt64(Record.Number.value());
-    Each[AtField] = writeAt(Record.At);
+    Each[AtField] = writeTime(Record.OrderedAt);
     Result[RecordsField].append(std::move(Each));
   }
   return Result;
@@ -84,7 +84,7 @@
     EvacuationRecord &Record = Result.Records[DataCentreId(DataCentre)];
     BOOST_LEAF_ASSIGN(Record.Evacuated, readEvacuate(Each));
     BOOST_LEAF_ASSIGN(Record.Number, readNumber(Each, NumberField));
-    BOOST_LEAF_ASSIGN(Record.At, readAt(Each));
+    BOOST_LEAF_ASSIGN(Record.OrderedAt, readTime(Each));
   }
   return Result;
 }
--- a/src/jobs/internal/intake.cpp
+++ b/src/jobs/internal/intake.cpp
@@ -126,7 +126,7 @@
 
 scheduling::Waits Scheduler::forecastFor(const Job &New, Time Now) const {
   scheduling::PoolOutlook Pool = outlookFor(New, Now);
-  scheduling::JobOutlook Own{firstTasks(New.Spec),
+  scheduling::JobOutlook Own{initialTaskCount(New.Spec),
                              expectedRun(New, New.Spec.Steps.front(), Now)};
   double Cores = usableCores(New.Service);
   auto WaitBehind = [&](std::uint32_t Priority) {
--- a/src/jobs/internal/jobmessages.cpp
+++ b/src/jobs/internal/jobmessages.cpp
@@ -1,6 +1,6 @@
 //===- jobmessages.cpp - Messages between entries and control -------------===//
 //
-// The JSON form of an answer.
+// Reading and writing the messages' JSON forms.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/jobs/internal/jobmessages.h
+++ b/src/jobs/internal/jobmessages.h
@@ -21,25 +21,30 @@
 //         rack_groups?: {DATA_CENTRE: {RACK: GROUP}}, owners_change?,
 //         loads_after?, owners?: {POOL: REPORT, or null where the owner is
 //         silent}}
-//     from an entry: what has changed since what it has. Only the leader tells
-//     of workers, entries and owners. What is large is named only. REPORT is
-//     owner, token, load; pools whose load alone has changed are told some at a
-//     time, in the order of their names, up to loads_after
-//     of workers whole lists and changes are of the data centres workers_in;
-//     all_workers: the leader knows all that run, and the entry its list;
-//     no_others: the entry forgets the workers that are not listed.
-//     entries_same: the entry's list, by its digest, is that of a new leader
-//   jobs.document {} -> {configuration, document}; any control VM has it
+//     from an entry, periodically; the reply has the changes since the state
+//     that the request names. Only the leader reports workers, entries and
+//     owners. What is large is announced only (large_document, many_workers)
+//     and fetched with the methods below. REPORT is owner, token, load; pools
+//     of which only the load has changed are reported in batches, in the order
+//     of their names, up to loads_after. Lists and changes of workers cover
+//     the data centres in workers_in.
+//     all_workers: the leader knows all running workers, and the entry has its
+//     whole list.
+//     no_others: the entry drops the workers that are not listed.
+//     entries_same: the entry's list, by its digest, equals the new leader's
+//   jobs.document {} -> {configuration, document}; any control VM answers
 //   jobs.workers {workers_of, workers_change, workers_in?, workers_digest?,
 //                 lists_of, evacuations_change}
 //     -> {workers_of, workers_change, workers, removed?, evacuations?}
-//     or {leader}; a follower has the whole list of its leader's term lists_of
+//     or {leader}; a follower answers with the whole list that the
+//     leader of the term lists_of has shared
 //   pool.ping    {from, incarnation, pools: {POOL: CLAIM}, echo_us, sent_us,
 //                 stopping, young?, suspects?}
-//     -> {pools: {POOL: CLAIM}, stamp_us, stopping, age_us? (of a young
-//         process), suspects?: {JOB: {age_us, tasks that may crash workers}}}
-//     where CLAIM is owner, token, highest, first? (the first token that was
-//     heard of), workers? and load? (of an owner), settled?, lets_go?, rival?,
+//     -> {pools: {POOL: CLAIM}, stamp_us, stopping, age_us? (of a recently
+//         started process), suspects?: {JOB: {age_us, tasks that may crash
+//         workers}}}
+//     where CLAIM is owner, token, highest, first? (the first token that
+//     was known), workers? and load? (of an owner), settled?, lets_go?, rival?,
 //     rival_token?
 //   pool.run     {pool, job, age_us, left_us, origin, incarnation, serial,
 //                 echo_us, maybe_taken?, home?, registrar?}
@@ -47,31 +52,33 @@
 //   pool.drop    {pool, job, origin, incarnation, serial} -> {}
 //   pool.register {home, heeded, claims?: [CLAIMANT], releases?: [CLAIMANT]}
 //     -> {token, answers?: [{pool, had_by_other?}]}
-//     from the owner of a pool to a registrar, which says with its token where
-//     each job goes; CLAIMANT is job, pool, token, question
+//     from the owner of a pool to a registrar, which answers with its token and
+//     the pool that each job is assigned to; CLAIMANT is job, pool, token,
+//     question
 //   pool.report {home, token, pool} -> {heeded, token?, question?, jobs?}
-//     from a registrar to the owner of a pool, which promises by its answer to
-//     heed no registrar of the home with a lower token; without jobs: it does
-//     not know yet what runs there, or heeds a later registrar
+//     from a registrar to the owner of a pool, which by answering promises to
+//     obey no registrar of the home with a lower token; without jobs: the owner
+//     does not know yet what runs in the pool, or obeys a later registrar
 //   workers.announce {workers} and workers.leave {worker} -> {}
-//     passed on to the leader, and acknowledged once the leader has it
+//     forwarded to the leader, and acknowledged once the leader has it
 //   workers.heard {workers} -> {unknown?: workers that it does not have}
-//     to the leader: who has announced nothing new lately
+//     to the leader: workers heard by a follower whose announcements brought
+//     no change
 //   workers.share {workers_of, leader, since, workers_change, workers?,
 //     removed?} -> {behind?}
-//     from the leader to the others, what has changed since, in parts
+//     from the leader to the followers: the changes after since, in parts
 //   evacuation.order {data_centre, evacuate, base?, at_ms?} -> {}
-//     passed on to the leader with base, the number of the data centre's last
-//     order as the control VM that took this one knew it
+//     forwarded to the leader with base, the number of the data centre's last
+//     order that was known to the control VM that accepted this one
 //   evacuation.list {forwarded?} -> {evacuations: [{data_centre, since_ms,
 //     running, entries_behind}]}
-//     passed on to the leader
+//     forwarded to the leader
 //   routing.put  {document} -> {}; routing.get {} -> {document}
-//     passed on to the leader
+//     forwarded to the leader
 //
-// A control VM that does not lead answers the jobs methods with {leader}, which
-// is empty while it knows none. One that has lost the leadership over a job
-// that it had taken adds {maybe_taken}.
+// A follower answers the jobs methods with {leader}, which is empty while it
+// knows none. A control VM that has lost the leadership after it accepted a job
+// adds {maybe_taken}.
 //
 //===----------------------------------------------------------------------===//
 
@@ -116,7 +123,7 @@
 RetVal<JobAnswer> readAnswer(const Json::Value &From);
 
 Json::Value write(const JobId &Id, const Claimant &By);
-/// Nothing reads as an empty list.
+/// A null value reads as an empty list.
 RetVal<std::vector<std::pair<JobId, Claimant>>>
 readClaims(const Json::Value &From);
 
--- a/src/jobs/internal/jobservice.cpp
+++ b/src/jobs/internal/jobservice.cpp
@@ -1,7 +1,7 @@
 //===- jobservice.cpp - Jobs on a control VM ------------------------------===//
 //
-// Leadership, and the jobs that entries bring. What entries are told in return
-// for their frequent question is in servicesync.cpp.
+// Leadership, and jobs submitted by entries. The reply to the entries' periodic
+// sync request is in servicesync.cpp.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,102 +19,101 @@
 
 constexpr const char *Module = "jobs";
 constexpr Duration TickInterval = std::chrono::milliseconds(100);
-/// What callers wait when a leader is just taking over.
+/// Retry delay for callers while a new leader takes over.
 constexpr Duration RetryAfterChange = std::chrono::milliseconds(500);
 
-/// How long a transient job may wait for its start if its entry does not say.
-constexpr Duration UsualPatience = std::chrono::seconds(1);
-/// A leader shares its workers every second. A list that is older than two of
-/// these may lack workers that have come since.
-constexpr Duration SharedListLasts = std::chrono::seconds(2);
+/// How long a transient job may wait to start if its entry names no limit.
+constexpr Duration DefaultStartWait = std::chrono::seconds(1);
+/// A leader shares its workers every second. A list older than two such
+/// intervals may lack workers that have started since.
+constexpr Duration SharedListValidity = std::chrono::seconds(2);
 
-/// A request of an entry.
-struct Place {
+/// The host and path of an entry's request.
+struct QueueRequest {
   std::string Host;
   std::string Path;
 };
 
-RetVal<Place> readPlace(const Json::Value &Params) {
-  Place Result;
+RetVal<QueueRequest> readQueueRequest(const Json::Value &Params) {
+  QueueRequest Result;
   BOOST_LEAF_ASSIGN(Result.Host, json::readString(Params, "host"));
   BOOST_LEAF_ASSIGN(Result.Path, json::readString(Params, "path"));
   return Result;
 }
 
-/// The answer to a change that the log did not confirm.
-JobAnswer unconfirmed(const Error &Why) {
-  if (Why.Code != ErrorCode::Unavailable)
-    return outcome(JobOutcome::Unknown, Why.Message);
-  JobAnswer Result = outcome(JobOutcome::NotTaken, Why.Message);
+JobAnswer unconfirmed(const Error &Cause) {
+  if (Cause.Code != ErrorCode::Unavailable)
+    return outcome(JobOutcome::Unknown, Cause.Message);
+  JobAnswer Result = outcome(JobOutcome::NotTaken, Cause.Message);
   Result.RetryAfter = RetryAfterChange;
   return Result;
 }
 
 } // namespace
 
-JobService::JobService(JobServiceNeeds Needs, RoutingReader Reader,
+JobService::JobService(JobServiceDependencies Deps, RoutingReader Reader,
                        LeaseSettings Lease)
-    : Needs_(std::move(Needs)), Reader_(std::move(Reader)), Lease_(Lease) {}
+    : Deps_(std::move(Deps)), Reader_(std::move(Reader)), Lease_(Lease) {}
 
 void JobService::start() {
-  offerMethods();
-  Needs_.Log.onChanged([this] { follow(); });
-  follow();
+  registerMethods();
+  Deps_.Log.onChanged([this] { handleLogChange(); });
+  handleLogChange();
   tick();
   shareWorkers();
-  tellHeard();
+  reportHeardWorkers();
 }
 
-void JobService::offerMethods() {
-  auto Offer = [this](const char *Name, auto Member) {
-    Needs_.Server.method(
+void JobService::registerMethods() {
+  auto Register = [this](const char *Name, auto Member) {
+    Deps_.Server.method(
         Name, [this, Member](const Json::Value &Params, const Reply &Answer) {
           (this->*Member)(Params, Answer);
         });
   };
-  Offer(wire::method::Submit, &JobService::submit);
-  Offer(wire::method::State, &JobService::state);
-  Offer(wire::method::Cancel, &JobService::cancel);
-  Offer(wire::method::Pending, &JobService::pending);
-  Offer(wire::method::Share, &JobService::takeShared);
-  Offer(wire::method::Announce, &JobService::takeNews);
-  Offer(wire::method::Heard, &JobService::takeHeard);
-  Offer(wire::method::Sync, &JobService::sync);
-  Offer(wire::method::Document, &JobService::document);
-  Offer(wire::method::Workers, &JobService::workers);
-  offerEvacuations();
-  Needs_.Server.method(wire::method::Leave, [this](const Json::Value &Params,
-                                                   const Reply &Answer) {
+  Register(wire::method::Submit, &JobService::submit);
+  Register(wire::method::State, &JobService::state);
+  Register(wire::method::Cancel, &JobService::cancel);
+  Register(wire::method::Pending, &JobService::pending);
+  Register(wire::method::Share, &JobService::applySharedWorkers);
+  Register(wire::method::Announce, &JobService::handleAnnouncements);
+  Register(wire::method::Heard, &JobService::handleHeardWorkers);
+  Register(wire::method::Sync, &JobService::sync);
+  Register(wire::method::Document, &JobService::document);
+  Register(wire::method::Workers, &JobService::workers);
+  registerEvacuationMethods();
+  Deps_.Server.method(wire::method::Leave, [this](const Json::Value &Params,
+                                                  const Reply &Answer) {
     auto Worker = attempt([&] { return json::readString(Params, "worker"); });
     if (!Worker)
       return Answer(Worker.error());
-    takeLeave(WorkerId(*Worker), true, acknowledgeBy(Answer));
+    handleLeave(WorkerId(*Worker), true, acknowledgeBy(Answer));
   });
-  Needs_.Server.method(wire::method::PutRouting,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         auto Document = attempt([&] {
-                           return json::readString(Params, "document");
-                         });
-                         if (!Document)
-                           return Answer(Document.error());
-                         takeRouting(*Document, true, acknowledgeBy(Answer));
-                       });
-  Needs_.Server.method(
+  Deps_.Server.method(wire::method::PutRouting,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        auto Document = attempt([&] {
+                          return json::readString(Params, "document");
+                        });
+                        if (!Document)
+                          return Answer(Document.error());
+                        handleRouting(*Document, true, acknowledgeBy(Answer));
+                      });
+  Deps_.Server.method(
       wire::method::GetRouting,
       [this](const Json::Value & /*Params*/, const Reply &Answer) {
         if (!serves())
           return Answer(Error{ErrorCode::Unavailable, "not the leader"});
         Json::Value Result(Json::objectValue);
-        Result["document"] = Needs_.Log.configuration().Document;
+        Result["document"] = Deps_.Log.configuration().Document;
         Answer(std::move(Result));
       });
 }
 
-void JobService::follow() {
-  followEvacuations();
-  const control::ConfigSnapshot &Now = Needs_.Log.configuration();
-  if (Now.Version != RoutingFrom_) {
-    RoutingFrom_ = Now.Version;
+void JobService::handleLogChange() {
+  applyEvacuations();
+  const control::ConfigSnapshot &Now = Deps_.Log.configuration();
+  if (Now.Version != RoutingConfigVersion_) {
+    RoutingConfigVersion_ = Now.Version;
     auto Read = attempt([&] { return Reader_(Now.Document); });
     if (Read)
       Routing_ = std::move(*Read);
@@ -125,7 +124,7 @@
               {"queues", Routing_.Queues.size()},
               {"reason", Read ? "" : Read.error().Message.c_str()}});
   }
-  auto Term = Needs_.Log.leadsIn();
+  auto Term = Deps_.Log.leadsIn();
   if (Term == Term_)
     return;
   if (Term_)
@@ -134,63 +133,66 @@
   Scheduler_.reset();
   Term_ = Term;
   Shared_.clear();
-  LeadsSince_ = Needs_.Clock.now();
+  LeadsSince_ = Deps_.Clock.now();
   InheritsAllWorkers_ =
-      AllSharedAt_ && LeadsSince_ - *AllSharedAt_ < SharedListLasts;
+      AllSharedAt_ && LeadsSince_ - *AllSharedAt_ < SharedListValidity;
   if (!Term)
     return;
   logEvent(LogLevel::Info, Module, "leads",
            {{"term", Term->value()}, {"workers", Directory_.Workers.size()}});
-  if (!Needs_.Store.Jobs.empty())
-    engage();
+  if (!Deps_.Store.Jobs.empty())
+    startScheduler();
 }
 
-void JobService::engage() {
+void JobService::startScheduler() {
   if (Scheduler_)
     return;
-  SchedulerNeeds Needs{poolOfAll(),
-                       [this] { return Needs_.Log.holdsLease(); },
-                       [](FencingToken /*Token*/) {
-                         // A later leader; this one hears of it by the log.
-                       },
-                       [this] { return knowsAllWorkers(); },
-                       &Needs_.Log,
-                       Needs_.Store,
-                       Evacuated_,
-                       Needs_.Workers,
-                       Needs_.Clock,
-                       Needs_.Timers,
-                       Needs_.Measured};
+  SchedulerNeeds Deps{poolOfAll(),
+                      [this] { return Deps_.Log.holdsLease(); },
+                      [](FencingToken /*Token*/) {
+                        // A token of a later leader; this one learns of that
+                        // leader from the log.
+                      },
+                      [this] { return knowsAllWorkers(); },
+                      &Deps_.Log,
+                      Deps_.Store,
+                      Evacuated_,
+                      Deps_.Workers,
+                      Deps_.Clock,
+                      Deps_.Timers,
+                      Deps_.Measured};
   Scheduler_ =
-      std::make_unique<Scheduler>(std::move(Needs), tokenOf(*Term_), Lease_);
+      std::make_unique<Scheduler>(std::move(Deps), tokenOf(*Term_), Lease_);
   Scheduler_->takeWorkers(Directory_);
 }
 
 void JobService::tick() {
-  dropSilent(Directory_, Needs_.Clock.now());
-  followEvacuations();
+  dropSilentWorkers(Directory_, Deps_.Clock.now());
+  applyEvacuations();
   if (Scheduler_)
     Scheduler_->takeWorkers(Directory_);
   divideIfLarge();
-  Needs_.Timers.after(TickInterval, [this] { tick(); });
+  Deps_.Timers.after(TickInterval, [this] { tick(); });
 }
 
 Json::Value JobService::redirection() const {
   Json::Value Result(Json::objectValue);
-  auto Leader = Term_ ? std::nullopt : Needs_.Log.leaderAddress();
+  auto Leader = Term_ ? std::nullopt : Deps_.Log.leaderAddress();
   Result["leader"] = Leader ? Leader->text() : "";
   return Result;
 }
 
-std::optional<QueueMatch> JobService::findPlace(const Json::Value &Params,
-                                                const Reply &Answer) const {
-  auto At = attempt([&] { return readPlace(Params); });
-  QueueMatch Where =
-      At ? findQueue(Routing_, At->Host, At->Path) : QueueMatch();
-  if (Where.Found)
-    return Where;
-  Answer(wire::write(At ? outcome(JobOutcome::NoQueue)
-                        : outcome(JobOutcome::Invalid, "malformed message")));
+std::optional<QueueMatch>
+JobService::findRequestedQueue(const Json::Value &Params,
+                               const Reply &Answer) const {
+  auto Request = attempt([&] { return readQueueRequest(Params); });
+  QueueMatch Match = Request ? findQueue(Routing_, Request->Host, Request->Path)
+                             : QueueMatch();
+  if (Match.Found)
+    return Match;
+  Answer(wire::write(Request
+                         ? outcome(JobOutcome::NoQueue)
+                         : outcome(JobOutcome::Invalid, "malformed message")));
   return std::nullopt;
 }
 
@@ -201,75 +203,79 @@
   if (!Spec)
     return Answer(
         wire::write(outcome(JobOutcome::Invalid, "malformed message")));
-  auto Place = findPlace(Params, Answer);
-  if (!Place)
+  auto Requested = findRequestedQueue(Params, Answer);
+  if (!Requested)
     return;
-  const QueueMatch &Where = *Place;
-  engage();
+  const QueueMatch &Match = *Requested;
+  startScheduler();
   if (Spec->Transient)
-    return runTransient(newJob(Where, std::move(*Spec)), Params, Answer);
-  if (findJob(Needs_.Store, JobId(Where.Rest)))
+    return runTransient(newJob(Match, std::move(*Spec)), Params, Answer);
+  if (findJob(Deps_.Store, JobId(Match.Rest)))
     return Answer(wire::write(outcome(JobOutcome::Accepted)));
-  Time Began = Needs_.Clock.now();
-  JobId Id(Where.Rest);
+  Time StartedAt = Deps_.Clock.now();
+  JobId Id(Match.Rest);
   Scheduler_->accept(
-      newJob(Where, std::move(*Spec)),
-      [this, Answer, Id, Began](const Outcome<Done> &Was) {
-        Needs_.Measured.observe("geraniumbay_job_accept_seconds",
-                                "From a submission to its commit.", {},
-                                Needs_.Clock.now() - Began);
+      newJob(Match, std::move(*Spec)),
+      [this, Answer, Id, StartedAt](const Outcome<Done> &Committed) {
+        Deps_.Measured.observe("geraniumbay_job_accept_seconds",
+                               "From a submission to its commit.", {},
+                               Deps_.Clock.now() - StartedAt);
         logEvent(
             LogLevel::Info, Module, "job_submitted",
             {{"job", Id},
-             {"outcome", Was ? "accepted" : errorCodeName(Was.error().Code)},
-             {"commit_us", (Needs_.Clock.now() - Began).count()}});
-        Answer(wire::write(Was ? outcome(JobOutcome::Accepted)
-                               : unconfirmed(Was.error())));
+             {"outcome",
+              Committed ? "accepted" : errorCodeName(Committed.error().Code)},
+             {"commit_us", (Deps_.Clock.now() - StartedAt).count()}});
+        Answer(wire::write(Committed ? outcome(JobOutcome::Accepted)
+                                     : unconfirmed(Committed.error())));
       });
 }
 
 void JobService::runTransient(Job New, const Json::Value &Params,
                               const Reply &Answer) {
-  auto Left = attempt([&] { return json::readUintOr(Params, "left_us", 0); });
-  Duration Patience = Left && *Left != 0
-                          ? Duration(static_cast<Duration::rep>(*Left))
-                          : UsualPatience;
-  Time Began = Needs_.Clock.now();
+  auto TimeLeft =
+      attempt([&] { return json::readUintOr(Params, "left_us", 0); });
+  Duration MaxStartWait = TimeLeft && *TimeLeft != 0
+                              ? Duration(static_cast<Duration::rep>(*TimeLeft))
+                              : DefaultStartWait;
+  Time StartedAt = Deps_.Clock.now();
   JobId Id = New.Id;
   Scheduler_->run(
-      std::move(New), Arrival{WaiterId(), Duration(0), Patience, true},
-      [this, Answer, Id, Began](const Outcome<TransientEnd> &Ended) {
-        Duration Took = Needs_.Clock.now() - Began;
-        Needs_.Measured.observe("geraniumbay_transient_job_seconds",
-                                "From a submission to its end.", {}, Took);
-        logEvent(LogLevel::Info, Module, "job_answered",
-                 {{"job", Id}, {"ok", Ended.ok()}, {"took_us", Took.count()}});
+      std::move(New), Arrival{WaiterId(), Duration(0), MaxStartWait, true},
+      [this, Answer, Id, StartedAt](const Outcome<TransientEnd> &Ended) {
+        Duration Elapsed = Deps_.Clock.now() - StartedAt;
+        Deps_.Measured.observe("geraniumbay_transient_job_seconds",
+                               "From a submission to its end.", {}, Elapsed);
+        logEvent(
+            LogLevel::Info, Module, "job_answered",
+            {{"job", Id}, {"ok", Ended.ok()}, {"took_us", Elapsed.count()}});
         if (Ended)
           return Answer(wire::write(answerOfEnd(*Ended)));
-        // Tasks of it may have started here.
-        Json::Value Elsewhere = redirection();
-        Elsewhere["maybe_taken"] = true;
-        Answer(std::move(Elsewhere));
+        // Tasks of the job may have started under this leader.
+        Json::Value Redirect = redirection();
+        Redirect["maybe_taken"] = true;
+        Answer(std::move(Redirect));
       });
 }
 
 void JobService::state(const Json::Value &Params, const Reply &Answer) {
   if (!serves())
     return Answer(redirection());
-  auto Where = findPlace(Params, Answer);
-  if (!Where)
+  auto Match = findRequestedQueue(Params, Answer);
+  if (!Match)
     return;
-  JobId Id(Where->Rest);
+  JobId Id(Match->Rest);
   if (!Scheduler_)
-    return tellState(Id, Answer);
-  Scheduler_->whenRecorded(Id, [this, Id, Answer] { tellState(Id, Answer); });
+    return answerState(Id, Answer);
+  Scheduler_->whenRecorded(Id, [this, Id, Answer] { answerState(Id, Answer); });
 }
 
-void JobService::tellState(const JobId &Id, const Reply &Answer) {
-  // The leadership may have been lost while an end was on its way into the log.
+void JobService::answerState(const JobId &Id, const Reply &Answer) {
+  // The leadership may have been lost while the end of a task was being
+  // recorded.
   if (!serves())
     return Answer(redirection());
-  const Job *Found = findJob(Needs_.Store, Id);
+  const Job *Found = findJob(Deps_.Store, Id);
   JobAnswer Result = outcome(Found ? JobOutcome::Known : JobOutcome::NoJob);
   if (Found) {
     Result.State = Found->State;
@@ -281,44 +287,46 @@
 void JobService::cancel(const Json::Value &Params, const Reply &Answer) {
   if (!serves() || Stopping_)
     return Answer(redirection());
-  auto Where = findPlace(Params, Answer);
-  if (!Where)
+  auto Match = findRequestedQueue(Params, Answer);
+  if (!Match)
     return;
-  const Job *Found = findJob(Needs_.Store, JobId(Where->Rest));
+  const Job *Found = findJob(Deps_.Store, JobId(Match->Rest));
   if (!Found)
     return Answer(wire::write(outcome(JobOutcome::NoJob)));
   if (Found->State != JobState::Active)
     return Answer(wire::write(outcome(JobOutcome::Cancelled)));
-  engage();
-  Scheduler_->cancel(Found->Id, [Answer](const Outcome<Done> &Was) {
-    Answer(wire::write(Was ? outcome(JobOutcome::Cancelled)
-                           : unconfirmed(Was.error())));
+  startScheduler();
+  Scheduler_->cancel(Found->Id, [Answer](const Outcome<Done> &Committed) {
+    Answer(wire::write(Committed ? outcome(JobOutcome::Cancelled)
+                                 : unconfirmed(Committed.error())));
   });
 }
 
 void JobService::pending(const Json::Value &Params, const Reply &Answer) {
   if (!serves())
     return Answer(redirection());
-  auto Where = findPlace(Params, Answer);
-  if (!Where)
+  auto Match = findRequestedQueue(Params, Answer);
+  if (!Match)
     return;
   JobAnswer Result = outcome(JobOutcome::Known);
   if (Scheduler_)
-    Result.Pending = Scheduler_->pending(Where->Found->Name);
+    Result.Pending = Scheduler_->pending(Match->Found->Name);
   Answer(wire::write(Result));
 }
 
 void JobService::prepareStop(std::function<void()> Done) {
   if (!Term_)
-    return Needs_.Log.giveUpVote(std::move(Done));
+    return Deps_.Log.giveUpVote(std::move(Done));
   if (!Stopping_)
-    logEvent(LogLevel::Info, Module, "hands_over", {{"term", Term_->value()}});
+    logEvent(LogLevel::Info, Module, "leadership_handover",
+             {{"term", Term_->value()}});
   Stopping_ = true;
-  Needs_.Log.handOver();
-  // What is under way is committed first, so it may take a few tries.
-  constexpr Duration TryAgain = std::chrono::milliseconds(10);
-  Needs_.Timers.after(TryAgain,
-                      [this, Done = std::move(Done)] { prepareStop(Done); });
+  Deps_.Log.handOver();
+  // Pending entries of the log are committed first, so the handover may take a
+  // few tries.
+  constexpr Duration RetryInterval = std::chrono::milliseconds(10);
+  Deps_.Timers.after(RetryInterval,
+                     [this, Done = std::move(Done)] { prepareStop(Done); });
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/jobservice.h
+++ b/src/jobs/internal/jobservice.h
@@ -1,7 +1,8 @@
 //===- jobservice.h - Jobs on a control VM ----------------------*- C++ -*-===//
 //
-// Answers entries and workers on a control VM. While this VM leads it has a
-// scheduler; otherwise it points to the leader, or passes the message on.
+// Answers entries and workers on a control VM. The leader serves them itself,
+// with a scheduler once there are durable jobs; a follower redirects to the
+// leader or forwards the message.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,8 +19,8 @@
 
 namespace geraniumbay::jobs {
 
-/// What the service works with; all of it outlives the service.
-struct JobServiceNeeds {
+/// All referenced objects outlive the service.
+struct JobServiceDependencies {
   control::IReplicatedLog &Log;
   const JobStore &Store;
   IWorkerCalls &Workers;
@@ -28,15 +29,17 @@
   Metrics &Measured;
   IRpcServer &Server;
   IRpcClient &Client;
-  /// Those that the settings name; others are known from what is there.
+  /// Those named in the settings; others are known from their entries and
+  /// workers.
   std::set<DataCentreId> DataCentres;
 };
 
 class JobService : public IJobControl {
 public:
-  JobService(JobServiceNeeds Needs, RoutingReader Reader, LeaseSettings Lease);
+  JobService(JobServiceDependencies Deps, RoutingReader Reader,
+             LeaseSettings Lease);
 
-  /// Offers the methods and starts to follow the leadership; called once.
+  /// Registers the RPC methods and starts to follow the log; called once.
   void start();
 
   void announceWorker(const WorkerInfo &Info, Acknowledge Done) override;
@@ -51,178 +54,193 @@
 private:
   using Reply = IRpcServer::Reply;
 
-  void offerMethods();
-  /// Starts or ends the scheduler as the leadership and the routing change.
-  void follow();
+  void registerMethods();
+  /// Loads a changed routing document, and starts or ends the scheduler as the
+  /// leadership changes.
+  void handleLogChange();
   void tick();
   void shareWorkers();
-  /// Tells another control VM which workers have changed.
+  /// Sends the changed workers to another control VM.
   void shareWith(const Endpoint &Member);
-  void takeShared(const Json::Value &Params, const Reply &Answer);
+  void applySharedWorkers(const Json::Value &Params, const Reply &Answer);
   Json::Value redirection() const;
-  bool serves() const { return Term_ && Needs_.Log.holdsLease(); }
+  bool serves() const { return Term_ && Deps_.Log.holdsLease(); }
 
-  // Entries.
-  /// The queue that a request names; answers the request if there is none.
-  std::optional<QueueMatch> findPlace(const Json::Value &Params,
-                                      const Reply &Answer) const;
+  // Requests of entries.
+  /// Finds the queue that a request names; answers the request with an error if
+  /// there is none.
+  std::optional<QueueMatch> findRequestedQueue(const Json::Value &Params,
+                                               const Reply &Answer) const;
   void submit(const Json::Value &Params, const Reply &Answer);
   void runTransient(Job New, const Json::Value &Params, const Reply &Answer);
   void state(const Json::Value &Params, const Reply &Answer);
-  void tellState(const JobId &Id, const Reply &Answer);
+  void answerState(const JobId &Id, const Reply &Answer);
   void cancel(const Json::Value &Params, const Reply &Answer);
   void pending(const Json::Value &Params, const Reply &Answer);
-  /// What has changed for the entry that asks.
-  void tellEntry(const Json::Value &Params, Json::Value &Into);
-  void tellAllEntries(const Json::Value &Params, Json::Value &Into);
-  void tellEntries(const Json::Value &Params, Json::Value &Into);
-  /// Whether the entries that the asker knows have had the time to ask.
+  /// Records that the entry has asked, and adds what has changed since.
+  void addEntryUpdate(const Json::Value &Params, Json::Value &Response);
+  void addAllEntries(const Json::Value &Params, Json::Value &Response);
+  void addEntryChanges(const Json::Value &Params, Json::Value &Response);
+  /// Whether the entries known to the requester have had the time to contact
+  /// this leader.
   bool haveEntriesAsked(const Json::Value &Params) const;
-  struct OwnerWord;
-  void noteOwner(const PoolName &Name, const Json::Value &Claim, Time Now);
-  void changeOwner(OwnerWord &Known, const Json::Value &Claim);
-  void tellOwners(const Json::Value &Params, Json::Value &Into);
-  /// Tells some of the pools whose load alone has changed, in turn.
-  void tellLoads(const Json::Value &Params, bool SameTerm,
-                 Json::Value &Into) const;
-  /// Whether the entry that asks knows this leader's lists.
-  bool isOfThisTerm(const Json::Value &Params) const;
-  /// With \p Any also a list that is too long to come with every answer.
-  void tellWorkers(const Json::Value &Params, bool Any, Json::Value &Into);
-  void tellDocument(bool Any, Json::Value &Into) const;
+  struct OwnerReport;
+  void recordOwnerReport(const PoolName &Name, const Json::Value &Claim,
+                         Time Now);
+  void updateOwnerReport(OwnerReport &Report, const Json::Value &Claim);
+  void addOwnerChanges(const Json::Value &Params, Json::Value &Response);
+  /// Adds a batch of the pools of which only the load has changed, in turn.
+  void addLoadChanges(const Json::Value &Params, bool SameTerm,
+                      Json::Value &Response) const;
+  /// Whether the entry's lists come from this leader's term.
+  bool knowsCurrentTerm(const Json::Value &Params) const;
+  /// Without \p IncludeLarge a list that is too long for a sync reply is left
+  /// out and only announced.
+  void addWorkerChanges(const Json::Value &Params, bool IncludeLarge,
+                        Json::Value &Response);
+  void addDocument(bool IncludeLarge, Json::Value &Response) const;
   void document(const Json::Value &Params, const Reply &Answer);
   void workers(const Json::Value &Params, const Reply &Answer);
-  /// Whether all workers that run are known here: all have had the time to
-  /// announce themselves, or the leader before has shared its list.
+  /// Whether all running workers are known here: all have had the time to
+  /// announce themselves, or the previous leader has shared its list.
   bool knowsAllWorkers() const;
-  /// Of a follower: lists what the leader has shared, where that is of use.
-  bool listShared(const Json::Value &Params, Json::Value &Into) const;
-  /// Whether the workers are too many for one pool. Until they are divided
-  /// entries hear of none: one entry cannot hold thousands.
-  bool isToBeDivided() const;
-  /// Divides the workers by racks once they are too many for one pool.
+  /// On a follower: adds the workers that the leader has shared, if the entry
+  /// asks for that leader's term and has no list of it yet.
+  bool addSharedWorkers(const Json::Value &Params, Json::Value &Response) const;
+  /// Whether there are too many workers for one pool. Until they are divided
+  /// entries are sent none: one entry cannot own thousands.
+  bool needsDivision() const;
+  /// Divides the workers into pools by racks once there are too many for one
+  /// pool.
   void divideIfLarge();
   void sync(const Json::Value &Params, const Reply &Answer);
-  /// Starts to schedule: from the first durable job on, the leader of the log
-  /// owns the workers.
-  void engage();
+  /// Creates the scheduler, if there is none yet. From the first durable job
+  /// on, the leader of the log owns the workers.
+  void startScheduler();
 
   // Evacuations (evacuationservice.cpp).
-  void offerEvacuations();
-  bool isKnown(const DataCentreId &DataCentre) const;
-  void takeEvacuation(const EvacuationOrder &Order, bool Forwarded,
-                      const Acknowledge &Done);
+  void registerEvacuationMethods();
+  bool isKnownDataCentre(const DataCentreId &DataCentre) const;
+  void handleEvacuationOrder(const EvacuationOrder &Order, bool Forwarded,
+                             const Acknowledge &Done);
   void recordEvacuation(const EvacuationOrder &Order, const Acknowledge &Done);
-  /// What has changed since the entry that asks was told.
-  void tellEvacuations(const Json::Value &Params, Json::Value &Into) const;
-  void takeEvacuationWord(const Json::Value &Params, const EntryPlace &From);
-  /// For operators: what is evacuated and how far that is obeyed.
+  /// Adds the evacuations if they have changed since the entry's last sync.
+  void addEvacuations(const Json::Value &Params, Json::Value &Response) const;
+  void recordEvacuationReport(const Json::Value &Params,
+                              const EntryPlace &From);
+  /// For operators: the evacuated data centres, the tasks still running there,
+  /// and the entries that do not know of the evacuation yet.
   void listEvacuations(const Json::Value &Params, const Reply &Answer);
   Json::Value describeEvacuation(const DataCentreId &DataCentre,
                                  const EvacuationRecord &Record) const;
-  void followEvacuations();
+  void applyEvacuations();
 
-  // Passed on to the leader. Forwarded messages are not passed on again.
-  void passOn(const char *Method, Json::Value Params, bool Forwarded,
-              std::function<void(Outcome<Json::Value>)> Done);
-  void takeNews(const Json::Value &Params, const Reply &Answer);
-  /// Passes on what has come meanwhile, in one message at a time.
-  void passNewsOn();
-  /// Tells the leader again and again which workers were heard here.
-  void tellHeard();
-  void takeHeard(const Json::Value &Params, const Reply &Answer);
-  void takeLeave(const WorkerId &Worker, bool Forwarded,
-                 const Acknowledge &Done);
-  void takeRouting(const std::string &Document, bool Forwarded,
+  // Forwarding to the leader. A message that was forwarded once is not
+  // forwarded again.
+  void forwardToLeader(const char *Method, Json::Value Params, bool Forwarded,
+                       std::function<void(Outcome<Json::Value>)> Done);
+  void handleAnnouncements(const Json::Value &Params, const Reply &Answer);
+  /// Forwards all pending announcements in one message; one message is in
+  /// flight at a time.
+  void forwardAnnouncements();
+  /// Periodically reports to the leader which workers were heard here.
+  void reportHeardWorkers();
+  void handleHeardWorkers(const Json::Value &Params, const Reply &Answer);
+  void handleLeave(const WorkerId &Worker, bool Forwarded,
                    const Acknowledge &Done);
+  void handleRouting(const std::string &Document, bool Forwarded,
+                     const Acknowledge &Done);
   void proposeRouting(const std::string &Document, DocumentVersion Version,
                       int Tries, const Acknowledge &Done);
 
-  const JobServiceNeeds Needs_;
+  const JobServiceDependencies Deps_;
   const RoutingReader Reader_;
   const LeaseSettings Lease_;
-  /// The term in which this VM leads.
+  /// The term in which this VM leads; unset on a follower.
   std::optional<control::LeaderTerm> Term_;
   Time LeadsSince_;
-  /// The leader before knew all workers and shared them until it ended.
+  /// The previous leader knew all workers and shared them until its term ended.
   bool InheritsAllWorkers_ = false;
-  /// Of a leader with durable jobs.
+  /// On a leader with durable jobs.
   std::unique_ptr<Scheduler> Scheduler_;
-  struct EntryWord {
-    Time Heard;
-    /// The number of the change by which it came.
-    std::uint64_t ChangedAt = 0;
+  struct EntryContact {
+    Time LastHeardAt;
+    /// Number of the change that added the entry.
+    std::uint64_t ChangeNumber = 0;
   };
-  /// The entries that have asked lately.
-  std::map<EntryPlace, EntryWord> Entries_;
-  /// What an entry said last of the evacuations: which it knows of, and how
-  /// many tasks run in evacuated data centres under its orders.
-  struct EvacuationWord {
-    EvacuationNumber Known;
+  /// The entries that have contacted this VM within EntryTimeout.
+  std::map<EntryPlace, EntryContact> Entries_;
+  /// An entry's last report on evacuations: the last one it knows of, and how
+  /// many tasks that it manages run in evacuated data centres.
+  struct EvacuationReport {
+    EvacuationNumber LastKnown;
     std::map<DataCentreId, std::uint64_t> Running;
   };
-  std::map<Endpoint, EvacuationWord> EvacuationWords_;
-  /// Of the evacuations that the log and the scheduler here know.
-  EvacuationNumber EvacuationsSeen_;
+  std::map<Endpoint, EvacuationReport> EvacuationReports_;
+  /// The last evacuation order that is reflected in Evacuated_ and the
+  /// scheduler.
+  EvacuationNumber AppliedEvacuations_;
   std::set<DataCentreId> Evacuated_;
-  /// Counts the changes of this list, and of the next one.
+  /// Counts the changes of Entries_.
   std::uint64_t EntriesChange_ = 0;
-  /// The last change by which an entry went: who has not heard of it is told
-  /// all anew.
-  std::uint64_t EntryGoneAt_ = 0;
-  /// The whole list as it is told. All that start together ask for it.
-  struct WrittenEntries {
-    /// Of EntriesChange_.
+  /// The last change that removed an entry. Entries that are behind it are sent
+  /// the whole list.
+  std::uint64_t LastEntryRemoval_ = 0;
+  /// The serialized list of all entries, cached since entries that start
+  /// together all ask for it.
+  struct SerializedEntries {
+    /// Value of EntriesChange_ that the list was built at.
     std::uint64_t Change = 0;
     std::uint64_t Digest = 0;
-    Json::Value Written;
+    Json::Value Serialized;
   };
-  WrittenEntries AllEntries_;
+  SerializedEntries AllEntries_;
   std::uint64_t OwnersChange_ = 0;
-  /// What the owner of a pool said last, and when; null once it is silent.
-  struct OwnerWord {
+  /// The last report of a pool's owner; its claim is null once the owner has
+  /// stopped reporting.
+  struct OwnerReport {
     Json::Value Claim;
-    Time Heard;
-    std::uint64_t ChangedAt = 0;
-    /// The same for more than its load.
-    std::uint64_t OwnerChangedAt = 0;
+    Time LastHeardAt;
+    std::uint64_t ChangeNumber = 0;
+    /// The last change of more than the load.
+    std::uint64_t OwnerChangeNumber = 0;
   };
-  std::map<PoolName, OwnerWord> Owners_;
-  /// Of a leader: how many changes of the workers each control VM was told.
+  std::map<PoolName, OwnerReport> Owners_;
+  /// On the leader: how far each control VM has received the changes of the
+  /// workers.
   struct ShareState {
-    std::uint64_t Upto = 0;
-    /// How many there were when the list was begun.
-    std::uint64_t ListedFrom = 0;
-    bool UnderWay = false;
+    std::uint64_t LastChange = 0;
+    /// The directory's change number when the list was begun.
+    std::uint64_t ListStart = 0;
+    bool InFlight = false;
     std::optional<Time> AnsweredAt;
   };
   std::map<Endpoint, ShareState> Shared_;
-  /// Of the others: which leader's term told them of which workers, and how
-  /// many changes that covers.
-  std::uint64_t SharedOf_ = 0;
-  std::uint64_t SharedChange_ = 0;
+  /// On a follower: the workers that a leader has shared, the leader's term,
+  /// and the last change included.
+  std::uint64_t SharedTerm_ = 0;
+  std::uint64_t SharedLastChange_ = 0;
   std::set<WorkerId> SharedWorkers_;
-  /// When a leader that knows all workers shared the last of them.
+  /// When a leader that knew all workers last shared a complete list.
   std::optional<Time> AllSharedAt_;
-  /// The division by racks is on its way into the log.
+  /// The division by racks is being appended to the log.
   bool Dividing_ = false;
-  /// How many workers there were when that number changed last.
+  /// The number of workers, and when it last changed.
   std::size_t WorkersCounted_ = 0;
   Time WorkersCountedAt_;
-  /// Since when they have been too many for one pool.
+  /// Since when there have been too many workers for one pool.
   std::optional<Time> TooManySince_;
   WorkerDirectory Directory_;
   AnnouncementRelay Relay_;
-  /// What the leader is still to be told.
-  struct PieceOfNews {
+  /// An announcement that is yet to be forwarded to the leader.
+  struct PendingAnnouncement {
     WorkerInfo Info;
     Acknowledge Done;
   };
-  std::vector<PieceOfNews> News_;
-  bool NewsUnderWay_ = false;
+  std::vector<PendingAnnouncement> PendingAnnouncements_;
+  bool AnnouncementsInFlight_ = false;
   Routing Routing_;
-  /// The version of the configuration that Routing_ was read from.
-  ConfigVersion RoutingFrom_;
+  ConfigVersion RoutingConfigVersion_;
   bool Stopping_ = false;
 };
 
--- a/src/jobs/internal/jobstore.cpp
+++ b/src/jobs/internal/jobstore.cpp
@@ -1,4 +1,4 @@
-//===- jobstore.cpp - The replicated record of jobs -----------------------===//
+//===- jobstore.cpp - The replicated job store ----------------------------===//
 //
 // Applying committed changes.
 //
@@ -17,8 +17,8 @@
 
 constexpr const char *Module = "jobs";
 
-/// Ends a job; what only an active one needs is given back.
-void settle(Job &Ended, JobState State) {
+/// Ends a job and frees what only an active job needs.
+void endJob(Job &Ended, JobState State) {
   Ended.State = State;
   Ended.Tasks.clear();
   Ended.Spec = JobSpec();
@@ -30,10 +30,10 @@
 }
 
 void accept(JobStore &Store, const Job &New) {
-  auto [Place, Fresh] = Store.Jobs.try_emplace(New.Id, New);
-  if (!Fresh)
+  auto [Position, Inserted] = Store.Jobs.try_emplace(New.Id, New);
+  if (!Inserted)
     return;
-  Job &Added = Place->second;
+  Job &Added = Position->second;
   Added.State = JobState::Active;
   Added.Tasks.clear();
   for (const StepSpec &Step : Added.Spec.Steps)
@@ -45,50 +45,50 @@
   Added.Suspects.clear();
 }
 
-TaskRecord *recordOf(Job &Of, const TaskId &Id) {
-  if (Of.State != JobState::Active || Id.Step >= Of.Tasks.size() ||
-      Id.Index >= Of.Tasks[Id.Step].size())
+TaskRecord *findRecord(Job &Stored, const TaskId &Id) {
+  if (Stored.State != JobState::Active || Id.Step >= Stored.Tasks.size() ||
+      Id.Index >= Stored.Tasks[Id.Step].size())
     return nullptr;
-  return &Of.Tasks[Id.Step][Id.Index];
+  return &Stored.Tasks[Id.Step][Id.Index];
 }
 
-void end(JobStore &Store, const TaskEnd &End) {
+void recordEnd(JobStore &Store, const TaskEnd &End) {
   auto Found = Store.Jobs.find(End.Task.Job);
   if (Found == Store.Jobs.end())
     return;
-  Job &Of = Found->second;
-  TaskRecord *Task = recordOf(Of, End.Task);
+  Job &Stored = Found->second;
+  TaskRecord *Task = findRecord(Stored, End.Task);
   if (!Task || Task->Done || End.Run <= Task->LastEnded)
     return;
   Task->LastEnded = End.Run;
   if (End.Succeeded) {
     Task->Done = true;
     Task->Seen = scheduling::Suspicion();
-    if (std::all_of(Of.Tasks.begin(), Of.Tasks.end(), isDone))
-      settle(Of, JobState::Completed);
+    if (std::all_of(Stored.Tasks.begin(), Stored.Tasks.end(), isDone))
+      endJob(Stored, JobState::Completed);
     return;
   }
   ++Task->Failures;
-  if (Task->Failures >= Of.MaxFailures)
-    settle(Of, JobState::Failed);
+  if (Task->Failures >= Stored.MaxFailures)
+    endJob(Stored, JobState::Failed);
 }
 
-void lose(JobStore &Store, const TaskLoss &Loss) {
+void recordLoss(JobStore &Store, const TaskLoss &Loss) {
   auto Found = Store.Jobs.find(Loss.Task.Job);
   if (Found == Store.Jobs.end())
     return;
-  TaskRecord *Task = recordOf(Found->second, Loss.Task);
+  TaskRecord *Task = findRecord(Found->second, Loss.Task);
   if (!Task || Task->Done)
     return;
   scheduling::noteLoss(Task->Seen, Loss.How, Loss.Alone);
   if (Task->Seen.Guilty)
-    settle(Found->second, JobState::Failed);
+    endJob(Found->second, JobState::Failed);
 }
 
 void cancel(JobStore &Store, const JobId &Id) {
   auto Found = Store.Jobs.find(Id);
   if (Found != Store.Jobs.end() && Found->second.State == JobState::Active)
-    settle(Found->second, JobState::Cancelled);
+    endJob(Found->second, JobState::Cancelled);
 }
 
 } // namespace
@@ -97,9 +97,9 @@
   for (const Job &New : Changes.Accepted)
     accept(Store, New);
   for (const TaskEnd &End : Changes.Ended)
-    end(Store, End);
+    recordEnd(Store, End);
   for (const TaskLoss &Loss : Changes.Lost)
-    lose(Store, Loss);
+    recordLoss(Store, Loss);
   for (const JobId &Id : Changes.Cancelled)
     cancel(Store, Id);
   for (const JobId &Id : Changes.Forgotten)
@@ -118,14 +118,15 @@
 }
 
 const TaskRecord *findTask(const JobStore &Store, const TaskId &Id) {
-  const Job *Of = findJob(Store, Id.Job);
-  if (!Of || Of->State != JobState::Active || Id.Step >= Of->Tasks.size() ||
-      Id.Index >= Of->Tasks[Id.Step].size())
+  const Job *Stored = findJob(Store, Id.Job);
+  if (!Stored || Stored->State != JobState::Active ||
+      Id.Step >= Stored->Tasks.size() ||
+      Id.Index >= Stored->Tasks[Id.Step].size())
     return nullptr;
-  return &Of->Tasks[Id.Step][Id.Index];
+  return &Stored->Tasks[Id.Step][Id.Index];
 }
 
-std::size_t firstTasks(const JobSpec &Spec) {
+std::size_t initialTaskCount(const JobSpec &Spec) {
   std::size_t Count = 0;
   for (const StepSpec &Step : Spec.Steps)
     if (Step.DependsOn.empty())
@@ -133,10 +134,10 @@
   return Count;
 }
 
-bool dependenciesDone(const Job &Of, std::uint32_t Step) {
-  const std::vector<std::uint32_t> &Needed = Of.Spec.Steps[Step].DependsOn;
+bool dependenciesDone(const Job &Stored, std::uint32_t Step) {
+  const std::vector<std::uint32_t> &Needed = Stored.Spec.Steps[Step].DependsOn;
   return std::all_of(Needed.begin(), Needed.end(), [&](std::uint32_t Earlier) {
-    return isDone(Of.Tasks[Earlier]);
+    return isDone(Stored.Tasks[Earlier]);
   });
 }
 
--- a/src/jobs/internal/jobwire.cpp
+++ b/src/jobs/internal/jobwire.cpp
@@ -1,6 +1,6 @@
 //===- jobwire.cpp - JSON forms of jobs -----------------------------------===//
 //
-// Short keys, since each job goes through the log twice or more.
+// The keys are short, since each job goes through the log at least twice.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A number that is left out where it is 0.
+/// Reads a number that is omitted if it is 0.
 void putNumber(Json::Value &Into, const char *Key, std::uint64_t Value) {
   if (Value != 0)
     Into[Key] = Json::UInt64(Value);
@@ -90,7 +90,7 @@
                                From[2].asUInt() != 0, From[3].asUInt() != 0};
 }
 
-/// A record without losses leaves out what was seen of them.
+/// A record without losses omits the suspicion.
 Json::Value write(const TaskRecord &Value) {
   Json::Value Result(Json::arrayValue);
   Result.append(Value.Done ? 1 : 0);
@@ -219,7 +219,7 @@
   return Result;
 }
 
-/// Reads a job of a snapshot, with the records of its tasks.
+/// Reads a job in a snapshot, with its task records.
 RetVal<Job> readStored(const Json::Value &From) {
   BOOST_LEAF_AUTO(Result, readJob(From));
   BOOST_LEAF_AUTO(Steps, json::readArray(From, "tasks"));
@@ -295,7 +295,7 @@
   return Result;
 }
 
-/// Missing groups are none.
+/// A missing field reads as no groups.
 RetVal<RackGroups> readGroupsOf(const Json::Value &From) {
   if (!From.isMember("rack_groups"))
     return RackGroups();
--- a/src/jobs/internal/jobwire.h
+++ b/src/jobs/internal/jobwire.h
@@ -1,7 +1,7 @@
 //===- jobwire.h - JSON forms of jobs ---------------------------*- C++ -*-===//
 //
-// The one place where jobs become JSON, for the log and for messages between
-// the system's processes. Reading fails with InvalidArgument.
+// Serializes jobs, for the log and for messages between processes. Reading
+// fails with InvalidArgument.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/jobs/internal/transientjobs.cpp
+++ b/src/jobs/internal/transientjobs.cpp
@@ -52,7 +52,7 @@
   Coming.Chain = chainOf(New, Now);
   Coming.Useful = scheduling::usefulnessOf(New.Promised, Coming.Chain,
                                            Now - How.Age, Now + How.Patience);
-  Coming.NotStarted = firstTasks(New.Spec);
+  Coming.NotStarted = initialTaskCount(New.Spec);
   New.Suspects = knownSuspects(New);
   bool Guilty =
       std::any_of(New.Suspects.begin(), New.Suspects.end(),
--- a/src/jobs/internal/workerdirectory.cpp
+++ b/src/jobs/internal/workerdirectory.cpp
@@ -1,6 +1,6 @@
-//===- workerdirectory.cpp - The workers that announced themselves --------===//
+//===- workerdirectory.cpp - Directory of announced workers ---------------===//
 //
-// Order of announcements and their JSON form.
+// Applying announcements, and their JSON form.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,23 +12,23 @@
 namespace geraniumbay::jobs {
 
 bool announce(WorkerDirectory &Directory, const WorkerInfo &Info, Time Now) {
-  if (Directory.Left.count(Info.Worker) != 0)
+  if (Directory.LeftWorkers.count(Info.Worker) != 0)
     return false;
-  auto [Place, Fresh] =
+  auto [Position, Inserted] =
       Directory.Workers.try_emplace(Info.Worker, KnownWorker{Info, Now});
-  if (Fresh) {
-    Place->second.ChangedAt = ++Directory.Changes;
+  if (Inserted) {
+    Position->second.ChangeNumber = ++Directory.Changes;
     return true;
   }
-  KnownWorker &Known = Place->second;
+  KnownWorker &Known = Position->second;
   if (Info.Sequence < Known.Info.Sequence)
     return false;
-  Known.Heard = Now;
-  // Draining is for good.
+  Known.LastHeardAt = Now;
+  // A worker that has begun to drain never stops draining.
   bool Draining = Known.Info.Draining || Info.Draining;
   if (Draining != Known.Info.Draining || Info.At != Known.Info.At ||
       Info.Capacity != Known.Info.Capacity)
-    Known.ChangedAt = ++Directory.Changes;
+    Known.ChangeNumber = ++Directory.Changes;
   Known.Info = Info;
   Known.Info.Draining = Draining;
   return true;
@@ -42,9 +42,9 @@
     Directory.Removals.pop_front();
 }
 
-void leave(WorkerDirectory &Directory, const WorkerId &Worker) {
+void recordLeave(WorkerDirectory &Directory, const WorkerId &Worker) {
   removeWorker(Directory, Worker);
-  Directory.Left.insert(Worker);
+  Directory.LeftWorkers.insert(Worker);
 }
 
 void confirmWorkers(WorkerDirectory &Directory,
@@ -52,42 +52,42 @@
   for (const WorkerId &Id : Workers) {
     auto Found = Directory.Workers.find(Id);
     if (Found != Directory.Workers.end())
-      Found->second.Heard = Now;
+      Found->second.LastHeardAt = Now;
   }
 }
 
-void dropSilent(WorkerDirectory &Directory, Time Now) {
+void dropSilentWorkers(WorkerDirectory &Directory, Time Now) {
   std::vector<WorkerId> Silent;
   for (const auto &[Id, Known] : Directory.Workers)
-    if (Now - Known.Heard >= WorkerSilence)
+    if (Now - Known.LastHeardAt >= WorkerTimeout)
       Silent.push_back(Id);
   for (const WorkerId &Id : Silent)
     removeWorker(Directory, Id);
 }
 
 DirectoryChanges changesSince(const WorkerDirectory &Directory,
-                              const ChangesWanted &Wanted) {
+                              const ChangesRequest &Request) {
   DirectoryChanges Result;
-  Result.Upto = Directory.Changes;
-  std::uint64_t Since = Wanted.Since;
-  Result.Whole = Since == 0 || (Directory.Removals.size() == MaxRemovals &&
-                                Directory.Removals.front().ChangedAt >
-                                    std::max(Since, Wanted.ListedFrom));
+  Result.LastChange = Directory.Changes;
+  std::uint64_t Since = Request.Since;
+  Result.IsFullList = Since == 0 || (Directory.Removals.size() == MaxRemovals &&
+                                     Directory.Removals.front().ChangeNumber >
+                                         std::max(Since, Request.ListStart));
   for (const auto &[Id, Known] : Directory.Workers)
-    if (Result.Whole || Known.ChangedAt > Since)
+    if (Result.IsFullList || Known.ChangeNumber > Since)
       Result.Changed.push_back(&Known);
   std::sort(Result.Changed.begin(), Result.Changed.end(),
             [](const KnownWorker *One, const KnownWorker *Other) {
-              return One->ChangedAt < Other->ChangedAt;
+              return One->ChangeNumber < Other->ChangeNumber;
             });
-  if (Result.Changed.size() > Wanted.Most) {
-    Result.Changed.resize(Wanted.Most);
-    Result.Upto = Result.Changed.back()->ChangedAt;
+  if (Result.Changed.size() > Request.MaxWorkers) {
+    Result.Changed.resize(Request.MaxWorkers);
+    Result.LastChange = Result.Changed.back()->ChangeNumber;
   }
-  if (Result.Whole)
+  if (Result.IsFullList)
     return Result;
   for (const RemovedWorker &Each : Directory.Removals)
-    if (Each.ChangedAt > Since && Each.ChangedAt <= Result.Upto)
+    if (Each.ChangeNumber > Since && Each.ChangeNumber <= Result.LastChange)
       Result.Removed.push_back(Each.Worker);
   return Result;
 }
--- a/src/jobs/internal/workerlists.cpp
+++ b/src/jobs/internal/workerlists.cpp
@@ -1,11 +1,13 @@
-//===- workerlists.cpp - Which workers a control VM tells of --------------===//
+//===- workerlists.cpp - Worker lists for entries and control VMs ---------===//
 //
-// Entries hear of the workers of the data centres that they ask for, as what
-// has changed since they were told last. Control VMs tell each other of all.
+// Entries get the workers of the data centres that they ask for, as the changes
+// since their last request. The leader shares all workers with the other
+// control VMs.
 //
-// The pattern: after the loss of a leader, or when the workers are divided,
-// hundreds of entries want the list of thousands of workers at once. Who has
-// the same list as a new leader is told just that.
+// After the loss of a leader, or when the workers are divided into pools,
+// hundreds of entries request the list of thousands of workers at once. An
+// entry whose list has the digest of the new leader's gets no list, only the
+// confirmation.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,26 +19,26 @@
 
 namespace {
 
-/// How often the leader tells the others which workers there are: a new leader
-/// then knows them before they announce themselves again.
+/// How often the leader shares its workers with the followers, so that a new
+/// leader knows them before they announce themselves again.
 constexpr Duration ShareInterval = std::chrono::seconds(1);
 constexpr Duration ShareTimeout = std::chrono::seconds(1);
-/// In one message: some 40 KB, which a VM with half a core writes and reads
-/// within a few milliseconds.
-constexpr std::size_t MostWorkersShared = 200;
+/// Workers in one message: about 40 KB, which a VM with half a core writes and
+/// reads within a few milliseconds.
+constexpr std::size_t MaxWorkersPerShare = 200;
 
-/// What comes with the answer to an entry's frequent question; longer lists are
-/// fetched, without haste.
+/// Largest list that is sent in a sync reply; longer ones are fetched
+/// separately, with a longer timeout.
 constexpr std::size_t MaxWorkersInSync = 50;
-/// Workers announce themselves every second and a half. By then each has done
-/// so, also one whose first control VM was silent.
-constexpr Duration AllAnnounced = std::chrono::seconds(3);
+/// Workers announce themselves every 1.5 s. Within this time each has done so,
+/// even if the first control VM that it tried did not answer.
+constexpr Duration AnnouncementRoundTime = std::chrono::seconds(3);
 
-/// What an entry wants to hear of workers.
-struct ListWanted {
-  /// The data centres whose workers it asks for; none stands for all.
+/// An entry's request for workers.
+struct WorkerListRequest {
+  /// The data centres whose workers are requested; empty stands for all.
   std::set<DataCentreId> DataCentres;
-  /// A digest of the workers that it knows.
+  /// A digest of the workers that the entry has.
   std::optional<std::uint64_t> Digest;
 
   bool wants(const WorkerInfo &Info) const {
@@ -44,8 +46,8 @@
   }
 };
 
-ListWanted readWanted(const Json::Value &Params) {
-  ListWanted Result;
+WorkerListRequest readWorkerListRequest(const Json::Value &Params) {
+  WorkerListRequest Result;
   if (Params["workers_in"].isArray())
     for (const Json::Value &Each : Params["workers_in"])
       if (Each.isString())
@@ -66,66 +68,67 @@
 
 bool JobService::knowsAllWorkers() const {
   return InheritsAllWorkers_ ||
-         (Term_ && Needs_.Clock.now() - LeadsSince_ >= AllAnnounced);
+         (Term_ && Deps_.Clock.now() - LeadsSince_ >= AnnouncementRoundTime);
 }
 
-void JobService::tellWorkers(const Json::Value &Params, bool Any,
-                             Json::Value &Into) {
-  auto Of = attempt([&] { return json::readUintOr(Params, "workers_of", 0); });
+void JobService::addWorkerChanges(const Json::Value &Params, bool IncludeLarge,
+                                  Json::Value &Response) {
+  auto Term =
+      attempt([&] { return json::readUintOr(Params, "workers_of", 0); });
   auto Change =
       attempt([&] { return json::readUintOr(Params, "workers_change", 0); });
-  bool SameTerm = Of && Change && *Of == Term_->value();
-  if (isToBeDivided())
+  bool SameTerm = Term && Change && *Term == Term_->value();
+  if (needsDivision())
     return;
   bool Current = SameTerm && *Change == Directory_.Changes;
   if (Current && knowsAllWorkers())
-    Into["all_workers"] = true;
+    Response["all_workers"] = true;
   if (Current)
     return;
-  ListWanted Asked = readWanted(Params);
-  DirectoryChanges News = changesSince(Directory_, SameTerm ? *Change : 0);
-  std::erase_if(News.Changed, [&](const KnownWorker *Each) {
-    return !Asked.wants(Each->Info);
+  WorkerListRequest Request = readWorkerListRequest(Params);
+  DirectoryChanges Changes = changesSince(Directory_, SameTerm ? *Change : 0);
+  std::erase_if(Changes.Changed, [&](const KnownWorker *Each) {
+    return !Request.wants(Each->Info);
   });
-  bool Same =
-      News.Whole && Asked.Digest && digestOfAll(News.Changed) == Asked.Digest;
-  if (Same)
-    News.Changed.clear();
-  if (!Any && News.Changed.size() > MaxWorkersInSync) {
-    Into["many_workers"] = true;
+  bool Unchanged = Changes.IsFullList && Request.Digest &&
+                   digestOfAll(Changes.Changed) == Request.Digest;
+  if (Unchanged)
+    Changes.Changed.clear();
+  if (!IncludeLarge && Changes.Changed.size() > MaxWorkersInSync) {
+    Response["many_workers"] = true;
     return;
   }
-  Into["workers_of"] = Json::UInt64(Term_->value());
-  Into["workers_change"] = Json::UInt64(News.Upto);
-  if (News.Whole && !Same && knowsAllWorkers())
-    Into["no_others"] = true;
-  Into["workers"] = Json::Value(Json::arrayValue);
-  for (const KnownWorker *Each : News.Changed)
-    Into["workers"].append(write(Each->Info));
-  for (const WorkerId &Each : News.Removed)
-    Into["removed"].append(Each.value());
+  Response["workers_of"] = Json::UInt64(Term_->value());
+  Response["workers_change"] = Json::UInt64(Changes.LastChange);
+  if (Changes.IsFullList && !Unchanged && knowsAllWorkers())
+    Response["no_others"] = true;
+  Response["workers"] = Json::Value(Json::arrayValue);
+  for (const KnownWorker *Each : Changes.Changed)
+    Response["workers"].append(write(Each->Info));
+  for (const WorkerId &Each : Changes.Removed)
+    Response["removed"].append(Each.value());
 }
 
-bool JobService::listShared(const Json::Value &Params,
-                            Json::Value &Into) const {
-  bool HasSome = wire::numberOf(Params, "workers_of") == SharedOf_ &&
+bool JobService::addSharedWorkers(const Json::Value &Params,
+                                  Json::Value &Response) const {
+  bool HasSome = wire::numberOf(Params, "workers_of") == SharedTerm_ &&
                  wire::numberOf(Params, "workers_change") != 0;
-  if (SharedOf_ == 0 || wire::numberOf(Params, "lists_of") != SharedOf_ ||
+  if (SharedTerm_ == 0 || wire::numberOf(Params, "lists_of") != SharedTerm_ ||
       HasSome)
     return false;
-  Into["workers_of"] = Json::UInt64(SharedOf_);
-  Into["workers_change"] = Json::UInt64(SharedChange_);
-  Into["workers"] = Json::Value(Json::arrayValue);
-  ListWanted Asked = readWanted(Params);
+  Response["workers_of"] = Json::UInt64(SharedTerm_);
+  Response["workers_change"] = Json::UInt64(SharedLastChange_);
+  Response["workers"] = Json::Value(Json::arrayValue);
+  WorkerListRequest Request = readWorkerListRequest(Params);
   std::vector<const KnownWorker *> Listed;
   for (const WorkerId &Id : SharedWorkers_)
     if (auto Found = Directory_.Workers.find(Id);
-        Found != Directory_.Workers.end() && Asked.wants(Found->second.Info))
+        Found != Directory_.Workers.end() && Request.wants(Found->second.Info))
       Listed.push_back(&Found->second);
-  if (Asked.Digest && digestOfAll(Listed) == Asked.Digest)
+  if (Request.Digest && digestOfAll(Listed) == Request.Digest)
     return true;
   for (const KnownWorker *Each : Listed)
-    Into["workers"].append(write(Each->Info));
+    Response["workers"].append(write(Each->Info));
   return true;
 }
 
@@ -133,105 +136,110 @@
   Json::Value Result(Json::objectValue);
   if (!serves()) {
     Result = redirection();
-    tellEvacuations(Params, Result);
-    listShared(Params, Result);
+    addEvacuations(Params, Result);
+    addSharedWorkers(Params, Result);
     return Answer(std::move(Result));
   }
-  // Who learns of workers learns at the same time which ones get no tasks.
-  tellEvacuations(Params, Result);
-  tellWorkers(Params, true, Result);
+  // Sent together, so that an entry never has workers without knowing which of
+  // them are evacuated.
+  addEvacuations(Params, Result);
+  addWorkerChanges(Params, true, Result);
   Answer(std::move(Result));
 }
 
 void JobService::shareWorkers() {
   if (Term_) {
-    auto Own = Needs_.Log.leaderAddress();
-    for (const Endpoint &Member : Needs_.Log.memberAddresses())
-      if (Member != Own && !Shared_[Member].UnderWay)
+    auto Own = Deps_.Log.leaderAddress();
+    for (const Endpoint &Member : Deps_.Log.memberAddresses())
+      if (Member != Own && !Shared_[Member].InFlight)
         shareWith(Member);
   }
-  Needs_.Timers.after(ShareInterval, [this] { shareWorkers(); });
+  Deps_.Timers.after(ShareInterval, [this] { shareWorkers(); });
 }
 
 void JobService::shareWith(const Endpoint &Member) {
   ShareState &State = Shared_[Member];
-  if (State.Upto == 0)
-    State.ListedFrom = Directory_.Changes;
-  DirectoryChanges News = changesSince(
-      Directory_, {State.Upto, MostWorkersShared, State.ListedFrom});
+  if (State.LastChange == 0)
+    State.ListStart = Directory_.Changes;
+  DirectoryChanges Changes = changesSince(
+      Directory_, {State.LastChange, MaxWorkersPerShare, State.ListStart});
   Json::Value Params(Json::objectValue);
   Params["workers_of"] = Json::UInt64(Term_->value());
-  if (auto Own = Needs_.Log.leaderAddress())
+  if (auto Own = Deps_.Log.leaderAddress())
     Params["leader"] = Own->text();
-  Params["since"] = Json::UInt64(News.Whole ? 0 : State.Upto);
-  Params["workers_change"] = Json::UInt64(News.Upto);
-  if (knowsAllWorkers() && News.Upto == Directory_.Changes)
+  Params["since"] = Json::UInt64(Changes.IsFullList ? 0 : State.LastChange);
+  Params["workers_change"] = Json::UInt64(Changes.LastChange);
+  if (knowsAllWorkers() && Changes.LastChange == Directory_.Changes)
     Params["all_workers"] = true;
-  for (const KnownWorker *Each : News.Changed)
+  for (const KnownWorker *Each : Changes.Changed)
     Params["workers"].append(write(Each->Info));
-  for (const WorkerId &Each : News.Removed)
+  for (const WorkerId &Each : Changes.Removed)
     Params["removed"].append(Each.value());
-  State.UnderWay = true;
-  Needs_.Client.call(
+  State.InFlight = true;
+  Deps_.Client.call(
       Member, wire::method::Share, std::move(Params), ShareTimeout,
       [this, Member, Term = Term_,
-       Upto = News.Upto](const Outcome<Json::Value> &Result) {
+       LastChange = Changes.LastChange](const Outcome<Json::Value> &Result) {
         if (Term_ != Term)
           return;
-        ShareState &Of = Shared_[Member];
-        Of.UnderWay = false;
+        ShareState &MemberState = Shared_[Member];
+        MemberState.InFlight = false;
         if (Result)
-          Of.AnsweredAt = Needs_.Clock.now();
-        // One that lacks something is told all workers anew. Without an answer
-        // the same is told again: that changes nothing.
+          MemberState.AnsweredAt = Deps_.Clock.now();
+        // A follower that is behind is sent the whole list. Without an answer
+        // the same changes are sent again, which is harmless.
         if (Result && wire::isSet(*Result, "behind"))
-          Of.Upto = 0;
+          MemberState.LastChange = 0;
         else if (Result)
-          Of.Upto = Upto;
-        if (Result && Of.Upto != 0 && Of.Upto < Directory_.Changes)
+          MemberState.LastChange = LastChange;
+        if (Result && MemberState.LastChange != 0 &&
+            MemberState.LastChange < Directory_.Changes)
           shareWith(Member);
       });
 }
 
-void JobService::takeShared(const Json::Value &Params, const Reply &Answer) {
+void JobService::applySharedWorkers(const Json::Value &Params,
+                                    const Reply &Answer) {
   auto Workers = attempt([&] { return json::readArray(Params, "workers"); });
   if (!Workers)
     return Answer(Workers.error());
-  std::uint64_t Of = wire::numberOf(Params, "workers_of");
+  std::uint64_t Term = wire::numberOf(Params, "workers_of");
   std::uint64_t Since = wire::numberOf(Params, "since");
   Json::Value Result(Json::objectValue);
-  // A message whose answer was lost comes again.
-  bool Follows = Of == SharedOf_ && Since <= SharedChange_;
+  // A message whose answer was lost is sent again, so it may overlap with what
+  // was applied.
+  bool Follows = Term == SharedTerm_ && Since <= SharedLastChange_;
   if (Since != 0 && !Follows) {
     Result["behind"] = true;
     return Answer(std::move(Result));
   }
-  if (Since != 0 && wire::numberOf(Params, "workers_change") < SharedChange_)
+  if (Since != 0 &&
+      wire::numberOf(Params, "workers_change") < SharedLastChange_)
     return Answer(std::move(Result));
-  followLeader(Relay_, Needs_.Log.leaderAddress());
-  // A leader of the past may share what the present one does not know.
+  followLeader(Relay_, Deps_.Log.leaderAddress());
+  // A former leader may share workers that the present one does not know.
   bool FromLeader = Relay_.Leader && Params["leader"] == Relay_.Leader->text();
   if (Since == 0) {
     SharedWorkers_.clear();
-    Relay_.Known.clear();
+    Relay_.LeaderDigests.clear();
   }
-  SharedOf_ = Of;
-  SharedChange_ = wire::numberOf(Params, "workers_change");
-  Time Now = Needs_.Clock.now();
+  SharedTerm_ = Term;
+  SharedLastChange_ = wire::numberOf(Params, "workers_change");
+  Time Now = Deps_.Clock.now();
   for (const Json::Value &Each : *Workers) {
     auto Info = attempt([&] { return readWorker(Each); });
     if (!Info)
       continue;
     announce(Directory_, *Info, Now);
     if (FromLeader)
-      noteKnown(Relay_, *Info);
+      markKnown(Relay_, *Info);
     SharedWorkers_.insert(Info->Worker);
   }
   for (const Json::Value &Each : Params["removed"])
     if (Each.isString()) {
       removeWorker(Directory_, WorkerId(Each.asString()));
       SharedWorkers_.erase(WorkerId(Each.asString()));
-      noteUnknown(Relay_, WorkerId(Each.asString()));
+      markUnknown(Relay_, WorkerId(Each.asString()));
     }
   confirmWorkers(Directory_, SharedWorkers_, Now);
   if (wire::isSet(Params, "all_workers"))
--- a/src/jobs/jobssetup.cpp
+++ b/src/jobs/jobssetup.cpp
@@ -1,6 +1,6 @@
 //===- jobssetup.cpp - Wiring of the jobs module --------------------------===//
 //
-// Resolves by name what the constructors need.
+// Looks up the services' dependencies by name.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
                      std::set<DataCentreId> DataCentres) {
   LeaseSettings Lease;
   Lease.Longest = LongestLease;
-  JobServiceNeeds Needs{
+  JobServiceDependencies Deps{
       Services.get<control::IReplicatedLog>(
           control::service_name::ReplicatedLog),
       Services.get<ReplicatedJobs>(service_name::JobStore).store(),
@@ -31,7 +31,7 @@
       Services.get<IRpcServer>(framework_name::RpcServer),
       Services.get<IRpcClient>(framework_name::RpcClient),
       std::move(DataCentres)};
-  auto Service = std::make_shared<JobService>(Needs, std::move(Reader), Lease);
+  auto Service = std::make_shared<JobService>(Deps, std::move(Reader), Lease);
   Services.add<IJobControl>(service_name::JobControl, Service);
   Service->start();
 }
@@ -42,15 +42,15 @@
                      Duration LongestLease) {
   LeaseSettings Lease;
   Lease.Longest = LongestLease;
-  EntryNeeds Needs{Services.get<IWorkerCalls>(service_name::WorkerCalls),
-                   Services.get<IClock>(framework_name::Clock),
-                   Services.get<ITimers>(framework_name::Timers),
-                   Services.get<Metrics>(framework_name::Metrics),
-                   Services.get<IRpcServer>(framework_name::RpcServer),
-                   Services.get<IRpcClient>(framework_name::RpcClient)};
-  auto Gateway = std::make_shared<EntryJobs>(
-      Needs, EntryPlace{Self, DataCentre}, std::move(ControlVms),
-      std::move(Reader), Lease);
+  EntryNeeds Deps{Services.get<IWorkerCalls>(service_name::WorkerCalls),
+                  Services.get<IClock>(framework_name::Clock),
+                  Services.get<ITimers>(framework_name::Timers),
+                  Services.get<Metrics>(framework_name::Metrics),
+                  Services.get<IRpcServer>(framework_name::RpcServer),
+                  Services.get<IRpcClient>(framework_name::RpcClient)};
+  auto Gateway = std::make_shared<EntryJobs>(Deps, EntryPlace{Self, DataCentre},
+                                             std::move(ControlVms),
+                                             std::move(Reader), Lease);
   Services.add<IJobGateway>(service_name::JobGateway, Gateway);
   Gateway->start();
 }
--- a/src/jobs/jobssetup.h
+++ b/src/jobs/jobssetup.h
@@ -28,12 +28,12 @@
 } // namespace service_name
 
 /// Registers IJobControl on a control VM and starts it. Needs the framework's
-/// services, "replicated_log", "worker_calls" and "job_store".
-/// \p DataCentres are those that the settings name.
+/// services, "replicated_log", "worker_calls" and "job_store". \p DataCentres
+/// are those named in the settings.
 void setUpJobControl(Registry &Services, RoutingReader Reader,
                      Duration LongestLease, std::set<DataCentreId> DataCentres);
 
-/// Registers IJobGateway on an entry, which its peers reach at \p Self, and
+/// Registers IJobGateway on an entry that its peers reach at \p Self, and
 /// starts to look for the leader among \p ControlVms. Needs the framework's
 /// services and "worker_calls".
 void setUpJobGateway(Registry &Services, const Endpoint &Self,
--- a/src/jobs/jobstore.h
+++ b/src/jobs/jobstore.h
@@ -1,7 +1,7 @@
-//===- jobstore.h - The replicated record of jobs ---------------*- C++ -*-===//
+//===- jobstore.h - The replicated job store --------------------*- C++ -*-===//
 //
 // The state machine that every control VM runs over the committed batches of
-// changes, and questions about it. No clock, no sockets.
+// changes, and its queries. Uses neither clocks nor sockets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,8 @@
 
 namespace geraniumbay::jobs {
 
-/// All jobs that are remembered, and what operators have ordered.
+/// All retained jobs, the operators' evacuation orders, and how workers are
+/// divided into pools.
 struct JobStore {
   std::unordered_map<JobId, Job> Jobs;
   Evacuations Evacuated;
@@ -23,21 +24,21 @@
   RackGroups Groups;
 };
 
-/// Applies committed changes. A change that comes again, or comes for a job
-/// that is not active, changes nothing.
+/// Applies committed changes. A repeated change, or one for a job that is not
+/// active, has no effect.
 void apply(JobStore &Store, const JobChanges &Changes);
 
-/// Returns the job, or null.
+/// Returns null if there is no such job.
 const Job *findJob(const JobStore &Store, const JobId &Id);
 
-/// Returns the record of a task of an active job, or null.
+/// Returns null unless the task belongs to an active job.
 const TaskRecord *findTask(const JobStore &Store, const TaskId &Id);
 
-/// How many tasks may start at once.
-std::size_t firstTasks(const JobSpec &Spec);
+/// How many tasks can start immediately: those of steps without dependencies.
+std::size_t initialTaskCount(const JobSpec &Spec);
 
-/// Whether all tasks of the steps that \p Step depends on have ended well.
-bool dependenciesDone(const Job &Of, std::uint32_t Step);
+/// Whether all tasks of the steps that \p Step depends on have succeeded.
+bool dependenciesDone(const Job &Stored, std::uint32_t Step);
 
 /// The job store as a module of the replicated log.
 class ReplicatedJobs : public control::IReplicatedState {
--- a/src/jobs/tests/announcementtest.cpp
+++ b/src/jobs/tests/announcementtest.cpp
@@ -1,7 +1,7 @@
 //===- announcementtest.cpp - Announcements of thousands of workers -------===//
 //
-// A group of control VMs over which workers are spread: the leader hears of
-// news at once and of nothing else, and knows who is alive all the same.
+// Workers spread over a group of control VMs: followers forward only changed
+// announcements, at once, and the leader still knows which workers are alive.
 //
 //===----------------------------------------------------------------------===//
 
@@ -63,36 +63,36 @@
     }
   }
 
-  /// Each worker announces itself at its control VM every 1.5 s.
-  void announceFor(Duration For) {
-    for (Time End = Fake.Clock.now() + For; Fake.Clock.now() < End;) {
+  /// Has each worker announce itself at its control VM every 1.5 s.
+  void announceFor(Duration Length) {
+    for (Time End = Fake.Clock.now() + Length; Fake.Clock.now() < End;) {
       for (std::size_t I = 0; I < Announced.size(); ++I)
-        announce(I, [](const Outcome<Done> &Was) { EXPECT_TRUE(Was); });
+        announce(I, [](const Outcome<Done> &Result) { EXPECT_TRUE(Result); });
       Fake.run(1500ms);
     }
   }
 
-  void announce(std::size_t Which, IJobControl::Acknowledge Done) {
-    ++Announced[Which].Sequence;
-    Group[Which % Group.size()]->Service.announceWorker(Announced[Which],
+  void announce(std::size_t Index, IJobControl::Acknowledge Done) {
+    ++Announced[Index].Sequence;
+    Group[Index % Group.size()]->Service.announceWorker(Announced[Index],
                                                         std::move(Done));
   }
 
-  void lead(std::size_t Which, std::uint64_t Term) {
+  void lead(std::size_t Index, std::uint64_t Term) {
     for (auto &Each : Group)
-      Each->Log.lead(Group[Which]->At, Term);
+      Each->Log.lead(Group[Index]->At, Term);
   }
 
-  /// The workers that the leader tells of.
+  /// The workers that \p Leader lists, and whether each is draining.
   std::map<std::string, bool> drainingByName(std::size_t Leader) {
     std::map<std::string, bool> Result;
     Json::Value Params(Json::objectValue);
     Params["entry"] = "10.0.1.99:7000";
     Params["data_centre"] = "a";
     Fake.Net.call({"10.0.1.99", 7000}, Group[Leader]->At, wire::method::Workers,
-                  Params, 1s, [&](const Outcome<Json::Value> &Told) {
-                    ASSERT_TRUE(Told);
-                    for (const Json::Value &Each : (*Told)["workers"])
+                  Params, 1s, [&](const Outcome<Json::Value> &Response) {
+                    ASSERT_TRUE(Response);
+                    for (const Json::Value &Each : (*Response)["workers"])
                       Result[Each["worker"].asString()] =
                           Each["draining"].asBool();
                   });
@@ -106,7 +106,7 @@
   std::vector<WorkerInfo> Announced;
 };
 
-TEST_F(AnnouncementTest, TheLeaderIsToldOfNewsOnly) {
+TEST_F(AnnouncementTest, OnlyChangesAreForwardedToTheLeader) {
   announceFor(3s);
   EXPECT_EQ(drainingByName(0).size(), Announced.size());
   Fake.Net.Sent.clear();
@@ -120,34 +120,35 @@
   announceFor(3s);
   Announced[1].Draining = true;
   bool Acknowledged = false;
-  announce(1, [&](const Outcome<Done> &Was) { Acknowledged = Was.ok(); });
+  announce(1, [&](const Outcome<Done> &Result) { Acknowledged = Result.ok(); });
   EXPECT_FALSE(Acknowledged);
   Fake.run(5ms);
   EXPECT_TRUE(Acknowledged);
   EXPECT_TRUE(drainingByName(0)["w1"]);
 }
 
-// The follower that passed it on got no answer; the worker tells it again.
-TEST_F(AnnouncementTest, ADrainThatTheLeaderDidNotHearIsToldAgain) {
+// The follower that forwards the drain gets no answer from the leader, so the
+// drain is not acknowledged and the worker announces it again.
+TEST_F(AnnouncementTest, ADrainThatDidNotReachTheLeaderIsSentAgain) {
   announceFor(3s);
   Fake.Faults.Cut.insert({"10.0.9.1", "10.0.9.2"});
   Announced[1].Draining = true;
   std::optional<bool> Acknowledged;
-  announce(1, [&](const Outcome<Done> &Was) { Acknowledged = Was.ok(); });
+  announce(1, [&](const Outcome<Done> &Result) { Acknowledged = Result.ok(); });
   Fake.run(1s);
   EXPECT_EQ(Acknowledged, false);
   Fake.Faults.Cut.clear();
-  announce(1, [&](const Outcome<Done> &Was) { Acknowledged = Was.ok(); });
+  announce(1, [&](const Outcome<Done> &Result) { Acknowledged = Result.ok(); });
   Fake.run(5ms);
   EXPECT_EQ(Acknowledged, true);
   EXPECT_TRUE(drainingByName(0)["w1"]);
 }
 
-TEST_F(AnnouncementTest, ANewLeaderHearsOfAllThatItMayNotKnow) {
+TEST_F(AnnouncementTest, ANewLeaderGetsAllThatItMayLack) {
   announceFor(3s);
   Announced[1].Draining = true;
   announceFor(1s);
-  // It leads before the former leader has told it of the drain.
+  // The new leader takes over before the former one has shared the drain.
   Fake.Faults.Cut.insert({"10.0.9.1", "10.0.9.3"});
   Announced[4].Draining = true;
   announceFor(1s);
@@ -159,14 +160,15 @@
   EXPECT_EQ(drainingByName(2).size(), Announced.size());
 }
 
-// Hundreds of workers start at once: what comes while a message to the leader
-// is under way goes with the next one.
-TEST_F(AnnouncementTest, NewsThatComeAtOnceArePassedOnTogether) {
+// Hundreds of workers start at once: announcements that arrive while a message
+// to the leader is in flight are batched into the next one.
+TEST_F(AnnouncementTest, ConcurrentChangesAreForwardedInBatches) {
   Fake.run(100ms);
   Fake.Net.Sent.clear();
   std::size_t Acknowledged = 0;
   for (std::size_t I = 0; I < Announced.size(); ++I)
-    announce(I, [&](const Outcome<Done> &Was) { Acknowledged += Was.ok(); });
+    announce(I,
+             [&](const Outcome<Done> &Result) { Acknowledged += Result.ok(); });
   Fake.run(20ms);
   EXPECT_EQ(Acknowledged, Announced.size());
   EXPECT_LE(Fake.Net.Sent[wire::method::Announce], 2U * (Vms - 1));
@@ -189,7 +191,7 @@
   EXPECT_FALSE(Group[0]->Service.announceAt(Announced[0].Worker));
 }
 
-TEST_F(AnnouncementTest, ASilentWorkerIsForgotten) {
+TEST_F(AnnouncementTest, ASilentWorkerIsRemoved) {
   announceFor(3s);
   Announced.erase(Announced.begin() + 5);
   announceFor(12s);
@@ -197,8 +199,8 @@
   EXPECT_EQ(drainingByName(0).size(), Announced.size());
 }
 
-// A follower lists what the leader has shared, so that the leader need not tell
-// hundreds of entries of thousands of workers.
+// A follower lists the workers that the leader has shared, so that the leader
+// need not send thousands of workers to hundreds of entries.
 TEST_F(AnnouncementTest, AFollowerListsTheWorkersOfItsLeadersTerm) {
   announceFor(3s);
   Json::Value Params(Json::objectValue);
@@ -206,9 +208,9 @@
   auto Ask = [&](std::uint64_t Term) {
     Params["lists_of"] = Json::UInt64(Term);
     Fake.Net.call({"10.0.1.99", 7000}, Group[1]->At, wire::method::Workers,
-                  Params, 1s, [&](const Outcome<Json::Value> &Told) {
-                    ASSERT_TRUE(Told);
-                    Listed = (*Told)["workers"].size();
+                  Params, 1s, [&](const Outcome<Json::Value> &Response) {
+                    ASSERT_TRUE(Response);
+                    Listed = (*Response)["workers"].size();
                   });
     Fake.run(10ms);
   };
@@ -218,7 +220,7 @@
   EXPECT_EQ(Listed, 0U);
 }
 
-TEST(WorkerDirectoryTest, AWholeListIsToldInParts) {
+TEST(WorkerDirectoryTest, AFullListIsSentInParts) {
   WorkerDirectory Directory;
   WorkerInfo Info;
   constexpr std::size_t Count = 50;
@@ -226,28 +228,28 @@
     Info.Worker = WorkerId("w" + std::to_string(I));
     announce(Directory, Info, Time());
     if (I >= Count)
-      leave(Directory, Info.Worker);
+      recordLeave(Directory, Info.Worker);
   }
-  // Workers go and change while the parts are told.
-  ChangesWanted Wanted{0, 7, Directory.Changes};
+  // Workers leave while the list is being fetched in parts.
+  ChangesRequest Request{0, 7, Directory.Changes};
   std::set<std::string> Known;
   for (std::size_t Part = 0; Part < 20; ++Part) {
-    DirectoryChanges News = changesSince(Directory, Wanted);
-    EXPECT_EQ(News.Whole, Part == 0);
-    EXPECT_LE(News.Changed.size(), 7U);
-    for (const KnownWorker *Each : News.Changed)
+    DirectoryChanges Changes = changesSince(Directory, Request);
+    EXPECT_EQ(Changes.IsFullList, Part == 0);
+    EXPECT_LE(Changes.Changed.size(), 7U);
+    for (const KnownWorker *Each : Changes.Changed)
       Known.insert(Each->Info.Worker.value());
-    for (const WorkerId &Each : News.Removed)
+    for (const WorkerId &Each : Changes.Removed)
       Known.erase(Each.value());
-    Wanted.Since = News.Upto;
+    Request.Since = Changes.LastChange;
     if (Part < 5)
-      leave(Directory, WorkerId("w" + std::to_string(Part * 9)));
+      recordLeave(Directory, WorkerId("w" + std::to_string(Part * 9)));
   }
-  std::set<std::string> There;
+  std::set<std::string> Remaining;
   for (const auto &[Id, Each] : Directory.Workers)
-    There.insert(Id.value());
-  EXPECT_EQ(Known, There);
-  EXPECT_EQ(Wanted.Since, Directory.Changes);
+    Remaining.insert(Id.value());
+  EXPECT_EQ(Known, Remaining);
+  EXPECT_EQ(Request.Since, Directory.Changes);
 }
 
 } // namespace
--- a/src/jobs/tests/controlfake.cpp
+++ b/src/jobs/tests/controlfake.cpp
@@ -8,7 +8,7 @@
 
 void FakeLog::append(std::string Batch,
                      std::function<void(Outcome<geraniumbay::Done>)> Done) {
-  // Two syncs and a round trip.
+  // The time of two disk syncs and a round trip.
   constexpr Duration Commit = 12ms;
   Timers_.after(Commit,
                 [this, Batch = std::move(Batch), Done = std::move(Done)] {
@@ -41,7 +41,7 @@
   for (WorkerInfo Info : Fake_.announced()) {
     Info.Sequence = Sequence_;
     Service.announceWorker(Info, [](const Outcome<Done> & /*Was*/) {
-      // The next one comes soon.
+      // The next announcement follows soon.
     });
   }
   constexpr Duration Pause = 1500ms;
--- a/src/jobs/tests/controlfake.h
+++ b/src/jobs/tests/controlfake.h
@@ -1,6 +1,6 @@
 //===- controlfake.h - A control VM with the real job service ---*- C++ -*-===//
 //
-// The job service of a control VM that leads, over a log that commits at once.
+// The job service of a leading control VM, over a fake log without replication.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,7 @@
 
 namespace geraniumbay::jobs {
 
-/// A log of one member, which leads, or of a group whose leader a test names.
+/// A log of one member, which leads, or of a group whose leader the test sets.
 class FakeLog : public control::IReplicatedLog {
 public:
   FakeLog(ITimers &Timers, Endpoint Self)
@@ -40,14 +40,14 @@
   void onChanged(std::function<void()> Run) override {
     Changed_ = std::move(Run);
   }
-  /// \p To leads in \p Term from now on.
+  /// Makes \p To the leader, in \p Term.
   void lead(const Endpoint &To, std::uint64_t Term) {
     Leader = To;
     LeadsIn = control::LeaderTerm(Term);
     Changed_();
   }
   void handOver() override {
-    // There is nobody else.
+    // There is no other member to take over.
   }
   void giveUpVote(std::function<void()> Done) override { Done(); }
 
@@ -63,10 +63,10 @@
   const Endpoint Self_;
 };
 
-/// Takes the place of the scripted control VM of an EntryFake.
+/// Replaces the scripted control VM of an EntryFake.
 class ControlFake {
 public:
-  /// \p Document is what entries read.
+  /// \p Document is the routing document that entries get.
   ControlFake(EntryFake &Fake, const std::string &Document);
 
 private:
--- a/src/jobs/tests/evacuationstest.cpp
+++ b/src/jobs/tests/evacuationstest.cpp
@@ -14,42 +14,45 @@
 
 EvacuationOrder orderOn(const Evacuations &Known, bool Evacuate,
                         const DataCentreId &DataCentre = North) {
-  return {DataCentre, Evacuate, recordOf(Known, DataCentre).Number, 1000};
+  return {DataCentre, Evacuate, findEvacuationRecord(Known, DataCentre).Number,
+          1000};
 }
 
-TEST(EvacuationsTest, AnOrderThatComesAgainChangesNothing) {
+TEST(EvacuationsTest, ARepeatedOrderChangesNothing) {
   Evacuations State;
   EvacuationOrder First = orderOn(State, true);
   apply(State, First);
   apply(State, First);
-  EXPECT_EQ(evacuatedOf(State), std::set<DataCentreId>{North});
+  EXPECT_EQ(evacuatedDataCentres(State), std::set<DataCentreId>{North});
 }
 
-// The first order is held up on its way, without a confirmation; its opposite
-// comes first and changes nothing.
-TEST(EvacuationsTest, AnOrderThatWasHeldUpDoesNotUndoALaterOne) {
+// The first order is delayed and not confirmed. The opposite order is recorded
+// first; though it changes no state, the delayed one must have no effect after
+// it.
+TEST(EvacuationsTest, ADelayedOrderDoesNotUndoALaterOne) {
   Evacuations State;
-  EvacuationOrder HeldUp = orderOn(State, true);
+  EvacuationOrder Delayed = orderOn(State, true);
   apply(State, orderOn(State, false));
-  EXPECT_FALSE(takesEffect(State, HeldUp));
-  apply(State, HeldUp);
-  EXPECT_TRUE(evacuatedOf(State).empty());
+  EXPECT_FALSE(takesEffect(State, Delayed));
+  apply(State, Delayed);
+  EXPECT_TRUE(evacuatedDataCentres(State).empty());
 }
 
 TEST(EvacuationsTest, ADataCentreIsEvacuatedSinceTheFirstOrder) {
   Evacuations State;
   apply(State, {North, true, EvacuationNumber(0), 1000});
   apply(State, {North, true, EvacuationNumber(1), 2000});
-  EXPECT_EQ(recordOf(State, North).At, 1000);
+  EXPECT_EQ(findEvacuationRecord(State, North).OrderedAt, 1000);
 }
 
-TEST(EvacuationsTest, OtherDataCentresAreNotConcerned) {
+TEST(EvacuationsTest, OtherDataCentresAreNotAffected) {
   Evacuations State;
   const DataCentreId South("south");
   EvacuationOrder Early = orderOn(State, true, South);
   apply(State, orderOn(State, true));
   apply(State, Early);
-  EXPECT_EQ(evacuatedOf(State), (std::set<DataCentreId>{North, South}));
+  EXPECT_EQ(evacuatedDataCentres(State),
+            (std::set<DataCentreId>{North, South}));
 }
 
 TEST(EvacuationsTest, ASnapshotHoldsTheOrders) {
@@ -61,7 +64,7 @@
   ReplicatedJobs Second;
   ASSERT_TRUE(attempt([&] { return Second.restore(First.snapshot()); }));
   EXPECT_EQ(Second.store().Evacuated, First.store().Evacuated);
-  EXPECT_EQ(evacuatedOf(Second.store().Evacuated),
+  EXPECT_EQ(evacuatedDataCentres(Second.store().Evacuated),
             std::set<DataCentreId>{North});
 }
 
@@ -78,9 +81,9 @@
   }
 }
 
-/// An operator who gives one order after the other, each again and again until
-/// it is confirmed or given up, through control VMs that may be behind.
-/// Messages are lost, held up and doubled, and leaders restart from snapshots.
+/// An operator gives one order after the other and repeats each until it is
+/// confirmed or given up, through control VMs that may be behind. Messages are
+/// lost, delayed and duplicated, and leaders restart from snapshots.
 class OrderRace {
 public:
   explicit OrderRace(std::uint64_t Seed) : Rng_(Seed) {}
@@ -110,20 +113,20 @@
   }
 
   void send() {
-    constexpr std::size_t MostBehind = 4;
+    constexpr std::size_t MaxBehind = 4;
     std::size_t Behind =
-        Rng_.below(std::min<std::size_t>(Known_.size(), MostBehind));
-    UnderWay_.push_back(orderOn(Known_[Known_.size() - 1 - Behind], Wanted_));
+        Rng_.below(std::min<std::size_t>(Known_.size(), MaxBehind));
+    InFlight_.push_back(orderOn(Known_[Known_.size() - 1 - Behind], Wanted_));
   }
 
   void deliver() {
-    if (UnderWay_.empty())
+    if (InFlight_.empty())
       return;
-    std::size_t Which = Rng_.below(UnderWay_.size());
-    EvacuationOrder Order = UnderWay_[Which];
-    bool Doubled = Rng_.below(4) == 0;
-    if (!Doubled)
-      UnderWay_.erase(UnderWay_.begin() + static_cast<std::ptrdiff_t>(Which));
+    std::size_t Index = Rng_.below(InFlight_.size());
+    EvacuationOrder Order = InFlight_[Index];
+    bool Duplicated = Rng_.below(4) == 0;
+    if (!Duplicated)
+      InFlight_.erase(InFlight_.begin() + static_cast<std::ptrdiff_t>(Index));
     bool TakesEffect = takesEffect(Leader_, Order);
     apply(Leader_, Order);
     Known_.push_back(Leader_);
@@ -131,7 +134,8 @@
     bool AnswerLost = Rng_.below(2) == 0;
     if (TakesEffect && Order.Evacuate == Wanted_ && !AnswerLost)
       Confirmed_ = true;
-    RC_ASSERT(!Confirmed_ || recordOf(Leader_, North).Evacuated == Wanted_);
+    RC_ASSERT(!Confirmed_ ||
+              findEvacuationRecord(Leader_, North).Evacuated == Wanted_);
   }
 
   void restart() {
@@ -143,9 +147,9 @@
 
   Random Rng_;
   Evacuations Leader_;
-  /// What control VMs that are behind may know.
+  /// Earlier states, which control VMs that are behind may have.
   std::vector<Evacuations> Known_{Evacuations()};
-  std::vector<EvacuationOrder> UnderWay_;
+  std::vector<EvacuationOrder> InFlight_;
   bool Wanted_ = false;
   bool Confirmed_ = false;
 };
--- a/src/jobs/tests/jobservicetest.cpp
+++ b/src/jobs/tests/jobservicetest.cpp
@@ -1,8 +1,8 @@
-//===- jobservicetest.cpp - What control tells entries --------------------===//
+//===- jobservicetest.cpp - The job service and its entries ---------------===//
 //
-// Entries with the real job service of a control VM: workers and documents of
-// any size reach them, workers that leave are forgotten, and many workers are
-// divided by racks.
+// Entries with the real job service of a control VM: worker lists and documents
+// of any size reach them, workers that leave are removed, and large numbers of
+// workers are divided into pools by racks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,14 +24,14 @@
   return std::all_of(Jobs.begin(), Jobs.end(), served);
 }
 
-/// Numbers the workers' racks in turn.
+/// Assigns the workers to racks in turn.
 void spreadOverRacks(EntryFake &Fake, std::size_t Racks) {
   for (std::size_t I = 0; I < Fake.announcements().size(); ++I)
     Fake.announcements()[I].Rack = "r" + std::to_string(I % Racks);
 }
 
-/// The longest list of workers that an entry is told from now on, in place of
-/// what was counted before.
+/// Tracks the longest list of workers sent to an entry from now on; replaces
+/// any earlier observer of answers.
 std::shared_ptr<std::size_t> watchLongestList(EntryFake &Fake) {
   auto Longest = std::make_shared<std::size_t>(0);
   Fake.Net.Answered = [Longest](const std::string &Method,
@@ -42,7 +42,7 @@
   return Longest;
 }
 
-/// How many answers from now on have each field.
+/// Counts the answers from now on that have each field.
 std::shared_ptr<std::map<std::string, std::size_t>>
 countFields(EntryFake &Fake, const std::vector<std::string> &Fields) {
   auto Counts = std::make_shared<std::map<std::string, std::size_t>>();
@@ -73,7 +73,7 @@
   EXPECT_TRUE(Fake.Workers.Doubled.empty());
 }
 
-// Twelve racks of ten workers in each data centre: three pools there.
+// Twelve racks of ten workers in each data centre form three pools.
 TEST(JobServiceTest, SmallRacksShareAPool) {
   EntryFake Fake(4, 120);
   spreadOverRacks(Fake, 12);
@@ -83,9 +83,9 @@
   EXPECT_TRUE(allServe(Fake));
 }
 
-// Each entry is told of 60 workers in place of 120, and of none again by a new
+// Each entry is sent 60 workers instead of all 120, and none again by a new
 // leader that knows the same ones.
-TEST(JobServiceTest, EntriesHearOfWorkersThatTheyMayOwnAndOnceOnly) {
+TEST(JobServiceTest, EntriesGetEachWorkerThatTheyMayOwnOnce) {
   EntryFake Fake(3, 60);
   ControlFake Control(Fake, "document");
   auto Longest = watchLongestList(Fake);
@@ -99,9 +99,9 @@
   EXPECT_TRUE(allServe(Fake));
 }
 
-// A new leader waits until those have asked that are known, and then tells
-// those who know the same entries just that.
-TEST(JobServiceTest, ANewLeaderTellsNoListsOfEntriesThatAreKnown) {
+// A new leader waits until all known entries have contacted it, and then sends
+// no list to entries that already have the same one.
+TEST(JobServiceTest, ANewLeaderDoesNotResendKnownListsOfEntries) {
   EntryFake Fake(20, 60);
   ControlFake Control(Fake, "document");
   Fake.run(4s);
@@ -113,8 +113,9 @@
   EXPECT_TRUE(allServe(Fake));
 }
 
-// An entry that comes later is told to the others alone.
-TEST(JobServiceTest, AnEntryThatComesIsToldAsAChange) {
+// An entry that starts later is sent to the others as a single change, not as a
+// whole list.
+TEST(JobServiceTest, ANewEntryIsSentAsAChange) {
   EntryFake Fake(6, 20);
   Fake.crash(0);
   ControlFake Control(Fake, "document");
@@ -125,15 +126,16 @@
   Params["data_centre"] = "a";
   Fake.Net.call({"10.0.1.77", 7000}, Fake.controlAddress(), wire::method::Sync,
                 Params, 1s, [](const Outcome<Json::Value> & /*Result*/) {
-                  // The others matter here.
+                  // Only the other entries matter here.
                 });
   Fake.run(2s);
   EXPECT_EQ((*Counts)["entries"], 1U);
   EXPECT_EQ((*Counts)["entries_new"], 11U);
 }
 
-// The entries of the other data centres may own the pools of one without.
-TEST(JobServiceTest, WorkersOfADataCentreWithoutEntriesAreTold) {
+// Entries of other data centres may own the pools of a data centre that has
+// none.
+TEST(JobServiceTest, WorkersOfADataCentreWithoutEntriesAreListed) {
   EntryFake Fake(2, 60);
   Fake.ControlAway = true;
   Fake.crash(2);
@@ -145,8 +147,8 @@
   EXPECT_EQ(*Longest, 120U);
 }
 
-// A task finds the rack of its data within its pool, and another one where that
-// is full.
+// A task is placed on the rack of its data within its pool, or on another rack
+// if that one is full.
 TEST(JobServiceTest, ATaskGoesToTheRackOfItsData) {
   EntryFake Fake(4, 60);
   spreadOverRacks(Fake, 6);
@@ -166,8 +168,8 @@
   EXPECT_TRUE(served(Wide));
 }
 
-// The ends of a job's tasks come one after the other, and each is on its way
-// through the log while the next ones come.
+// A job's tasks end one after the other; each end is still being recorded in
+// the log while the next ones arrive.
 TEST(JobServiceTest, AStoredJobStartsEachTaskOnce) {
   EntryFake Fake(1, 4);
   ControlFake Control(Fake, "document");
@@ -187,7 +189,8 @@
     EXPECT_EQ(Each.State, JobState::Completed) << Id.value();
 }
 
-// Who asks while the last end is being recorded hears of it with the commit.
+// A state request that arrives while the last end is being recorded is answered
+// after the commit.
 TEST(JobServiceTest, AJobThatHasJustEndedIsShownAsCompleted) {
   EntryFake Fake(1, 4);
   ControlFake Control(Fake, "document");
@@ -198,18 +201,20 @@
     Fake.run(1ms);
   while (Fake.Workers.running() != 0)
     Fake.run(1ms);
-  // The leader has heard of the end; its record takes 12 ms.
+  // The leader knows of the end; recording it takes 12 ms.
   Fake.run(4ms);
-  std::optional<JobAnswer> Told;
-  Fake.Entries[0].Jobs->state({"host", "/q/stored", 1s},
-                              [&](const JobAnswer &Answer) { Told = Answer; });
+  std::optional<JobAnswer> Reported;
+  Fake.Entries[0].Jobs->state(
+      {"host", "/q/stored", 1s},
+      [&](const JobAnswer &Answer) { Reported = Answer; });
   Fake.run(20ms);
-  ASSERT_TRUE(Told);
-  EXPECT_EQ(Told->State, JobState::Completed);
+  ASSERT_TRUE(Reported);
+  EXPECT_EQ(Reported->State, JobState::Completed);
 }
 
-// A control VM that needs 25 ms for a document of a thousand queues, asked by
-// twenty entries that start at once.
+// Twenty entries that start at once fetch a document of a thousand queues from
+// a control VM that needs 25 ms for each. Guards against a reply so slow that
+// entries time out and retry for ever.
 TEST(JobServiceTest, ALargeDocumentReachesAllEntriesOfASlowControlVm) {
   EntryFake Fake(10, 100);
   constexpr std::size_t LargeDocument = 250'000;
@@ -222,7 +227,7 @@
   EXPECT_TRUE(allServe(Fake));
 }
 
-TEST(JobServiceTest, ADirectoryTellsWhatHasChanged) {
+TEST(JobServiceTest, ADirectoryListsItsChanges) {
   WorkerDirectory Directory;
   WorkerInfo Info;
   for (const char *Name : {"a", "b"}) {
@@ -230,22 +235,22 @@
     announce(Directory, Info, Time());
   }
   std::uint64_t Known = Directory.Changes;
-  EXPECT_TRUE(changesSince(Directory, 0).Whole);
+  EXPECT_TRUE(changesSince(Directory, 0).IsFullList);
   EXPECT_TRUE(changesSince(Directory, Known).Changed.empty());
   Info.Sequence = 1;
   Info.Draining = true;
   announce(Directory, Info, Time());
-  leave(Directory, WorkerId("a"));
-  DirectoryChanges News = changesSince(Directory, Known);
-  ASSERT_EQ(News.Changed.size(), 1U);
-  EXPECT_TRUE(News.Changed.front()->Info.Draining);
-  EXPECT_EQ(News.Removed, std::vector<WorkerId>{WorkerId("a")});
+  recordLeave(Directory, WorkerId("a"));
+  DirectoryChanges Changes = changesSince(Directory, Known);
+  ASSERT_EQ(Changes.Changed.size(), 1U);
+  EXPECT_TRUE(Changes.Changed.front()->Info.Draining);
+  EXPECT_EQ(Changes.Removed, std::vector<WorkerId>{WorkerId("a")});
   for (std::size_t I = 0; I <= MaxRemovals; ++I) {
     Info.Worker = WorkerId("more" + std::to_string(I));
     announce(Directory, Info, Time());
-    leave(Directory, Info.Worker);
+    recordLeave(Directory, Info.Worker);
   }
-  EXPECT_TRUE(changesSince(Directory, Known).Whole);
+  EXPECT_TRUE(changesSince(Directory, Known).IsFullList);
 }
 
 } // namespace
--- a/src/jobs/tests/jobstoretest.cpp
+++ b/src/jobs/tests/jobstoretest.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(stateOf(Store, "a"), JobState::Completed);
 }
 
-TEST(JobStoreTest, AFailureCountsOnceHoweverOftenItIsTold) {
+TEST(JobStoreTest, ARepeatedFailureReportCountsOnce) {
   JobStore Store;
   apply(Store, accepted(jobOf("a", 1)));
   for (int I = 0; I < 5; ++I)
@@ -91,10 +91,10 @@
   EXPECT_EQ(Jobs.snapshot(), Before);
 }
 
-// The same batches give the same state, whether they come one by one, through
-// their JSON form, or as a snapshot in the middle.
+// The same batches give the same state, whether they are applied directly,
+// through their JSON form, or with a snapshot restored in between.
 RC_GTEST_PROP(JobStoreProperties, SnapshotsAndBatchesAgree, ()) {
-  ReplicatedJobs Whole;
+  ReplicatedJobs Uninterrupted;
   ReplicatedJobs Restored;
   JobStore Plain;
   auto Steps = *rc::gen::inRange(1, 40);
@@ -118,7 +118,7 @@
                       *rc::gen::arbitrary<bool>());
     }
     std::string Batch = wire::writeChanges(Changes);
-    Whole.apply(Batch);
+    Uninterrupted.apply(Batch);
     Restored.apply(Batch);
     apply(Plain, Changes);
     if (*rc::gen::inRange(0, 5) == 0) {
@@ -128,7 +128,7 @@
       Restored = Next;
     }
   }
-  RC_ASSERT(Whole.store().Jobs == Plain.Jobs);
+  RC_ASSERT(Uninterrupted.store().Jobs == Plain.Jobs);
   RC_ASSERT(Restored.store().Jobs == Plain.Jobs);
 }
 
--- a/src/jobs/tests/largegrouptest.cpp
+++ b/src/jobs/tests/largegrouptest.cpp
@@ -1,7 +1,7 @@
 //===- largegrouptest.cpp - Entries of a large deployment -----------------===//
 //
-// What an entry sends and is told while nothing happens does not grow with the
-// number of entries, and pools find owners again when many entries are lost.
+// An idle entry's traffic does not grow with the number of entries, and pools
+// get new owners when many entries are lost.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,8 +16,8 @@
 
 using namespace std::chrono_literals;
 
-/// Messages that an entry sends in a second while no job comes.
-double messagesEach(int EntriesEach, const char *Method) {
+/// Messages per second and entry while there are no jobs.
+double messagesPerEntryAndSecond(int EntriesEach, const char *Method) {
   EntryFake Fake(EntriesEach, 60);
   ControlFake Control(Fake, "document");
   Fake.run(6s);
@@ -29,23 +29,23 @@
 }
 
 TEST(LargeGroupTest, PingsOfAnEntryDoNotGrowWithTheGroup) {
-  double Few = messagesEach(10, wire::method::Ping);
-  double Many = messagesEach(40, wire::method::Ping);
+  double Few = messagesPerEntryAndSecond(10, wire::method::Ping);
+  double Many = messagesPerEntryAndSecond(40, wire::method::Ping);
   EXPECT_LE(Many, Few * 1.1);
 }
 
-// Each entry is told once of all others, and then of changes only.
+// Each entry is sent the full list of entries once, and then only changes.
 TEST(LargeGroupTest, AnAnswerOfControlDoesNotGrowWithTheGroup) {
   EntryFake Fake(40, 60);
   ControlFake Control(Fake, "document");
   Fake.run(6s);
   std::size_t Bytes = 0;
   Json::Value Params(Json::objectValue);
-  const Endpoint Asker{"10.0.1.99", 7000};
-  Params["entry"] = Asker.text();
+  const Endpoint Entry{"10.0.1.99", 7000};
+  Params["entry"] = Entry.text();
   Params["data_centre"] = "a";
   auto Ask = [&] {
-    Fake.Net.call(Asker, Fake.controlAddress(), wire::method::Sync, Params, 1s,
+    Fake.Net.call(Entry, Fake.controlAddress(), wire::method::Sync, Params, 1s,
                   [&](const Outcome<Json::Value> &Result) {
                     ASSERT_TRUE(Result);
                     Bytes = json::write(*Result).size();
@@ -67,17 +67,17 @@
   EXPECT_LT(Bytes, 400U);
 }
 
-// Sixty pools whose loads change all the time.
+// The loads of sixty pools change before every request.
 TEST(LargeGroupTest, AnAnswerOfControlDoesNotGrowWithThePools) {
   EntryFake Fake(1, 1);
   ControlFake Control(Fake, "document");
   constexpr int Pools = 60;
-  const Endpoint Asker{"10.0.1.99", 7000};
+  const Endpoint Entry{"10.0.1.99", 7000};
   Json::Value Params(Json::objectValue);
-  Params["entry"] = Asker.text();
+  Params["entry"] = Entry.text();
   Params["data_centre"] = "a";
-  std::map<std::string, int> Told;
-  std::size_t Most = 0;
+  std::map<std::string, int> ReportCounts;
+  std::size_t OwnersInReply = 0;
   auto Ask = [&](int Round, const std::string &Owner) {
     Params["owned"] = Json::Value(Json::objectValue);
     for (int I = 0; I < Pools; ++I) {
@@ -87,30 +87,30 @@
       Claim["load"]["used"] = Round;
     }
     Fake.Net.call(
-        Asker, Fake.controlAddress(), wire::method::Sync, Params, 1s,
+        Entry, Fake.controlAddress(), wire::method::Sync, Params, 1s,
         [&](const Outcome<Json::Value> &Result) {
           ASSERT_TRUE(Result);
           const Json::Value &Owners = (*Result)["owners"];
-          Most = Owners.size();
+          OwnersInReply = Owners.size();
           for (const std::string &Name : Owners.getMemberNames())
-            ++Told[Name];
+            ++ReportCounts[Name];
           for (const char *Known : {"lists_of", "owners_change", "loads_after"})
             Params[Known] = (*Result)[Known];
         });
     Fake.run(300ms);
   };
   Ask(0, "10.0.1.1:1");
-  EXPECT_GE(Most, std::size_t{Pools});
+  EXPECT_GE(OwnersInReply, std::size_t{Pools});
   Params["loads_change"] = Params["owners_change"];
-  Told.clear();
+  ReportCounts.clear();
   for (int Round = 1; Round <= 20; ++Round) {
     Ask(Round, "10.0.1.1:1");
-    EXPECT_LE(Most, 17U);
+    EXPECT_LE(OwnersInReply, 17U);
   }
-  EXPECT_GE(Told.size(), std::size_t{Pools});
-  // All hear of another owner at once.
+  EXPECT_GE(ReportCounts.size(), std::size_t{Pools});
+  // A change of owner is sent at once, for all pools.
   Ask(21, "10.0.1.2:1");
-  EXPECT_GE(Most, std::size_t{Pools});
+  EXPECT_GE(OwnersInReply, std::size_t{Pools});
 }
 
 TEST(LargeGroupTest, EachPoolHasOneOwnerAfterHalfOfTheEntriesAreLost) {
@@ -130,8 +130,8 @@
   EXPECT_TRUE(Fake.Workers.Doubled.empty());
 }
 
-// Entries are lost and come back in series while jobs go on: nothing runs twice
-// at a time, and each pool ends with one owner.
+// Entries are lost and restarted in random order while jobs are submitted: no
+// task runs twice at a time, and each pool ends with one owner.
 RC_GTEST_PROP(LargeGroupProperties, NoTaskRunsTwiceAtATime,
               (std::uint64_t Seed)) {
   Random Rng(Seed);
@@ -141,18 +141,18 @@
   std::set<std::size_t> Lost;
   int Job = 0;
   for (int Step = 0; Step < 25; ++Step) {
-    std::size_t Which = Rng.below(Fake.Entries.size());
-    if (Lost.erase(Which) != 0)
-      Fake.start(Which);
-    else if (Lost.size() < 12 && Lost.insert(Which).second)
-      Fake.crash(Which);
+    std::size_t Index = Rng.below(Fake.Entries.size());
+    if (Lost.erase(Index) != 0)
+      Fake.start(Index);
+    else if (Lost.size() < 12 && Lost.insert(Index).second)
+      Fake.crash(Index);
     for (std::size_t I = 0; I < Fake.Entries.size(); I += 3)
       if (Lost.count(I) == 0)
         Fake.submit(I, "job" + std::to_string(Job++), 2);
     Fake.run(Duration(Rng.below(300'000)));
   }
-  for (std::size_t Which : Lost)
-    Fake.start(Which);
+  for (std::size_t Index : Lost)
+    Fake.start(Index);
   Fake.run(4s);
   RC_ASSERT(Fake.Workers.Doubled.empty());
   RC_ASSERT(Fake.owners().size() == 4U);
--- a/src/jobs/workerdirectory.h
+++ b/src/jobs/workerdirectory.h
@@ -1,7 +1,8 @@
-//===- workerdirectory.h - The workers that announced themselves *- C++ -*-===//
+//===- workerdirectory.h - Directory of announced workers -------*- C++ -*-===//
 //
-// What each control VM knows of the workers from their announcements. A worker
-// numbers its announcements, so a late one is told from a newer one.
+// What each control VM knows of the workers from their announcements. Workers
+// number their announcements, so that a delayed one does not replace a newer
+// one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 
 namespace geraniumbay::jobs {
 
-/// What a worker says of itself.
+/// A worker's announcement.
 struct WorkerInfo {
   /// Names one incarnation of the worker.
   WorkerId Worker;
@@ -26,96 +27,96 @@
   ServiceId Service;
   DataCentreId DataCentre;
   Resources Capacity;
-  /// Its kind, its rack and whatever else it carries.
+  /// Its kind, its rack and any other labels.
   std::vector<std::string> Labels;
   /// Which of the labels is its rack; empty if it has none.
   std::string Rack;
   bool Draining = false;
-  /// Counts the announcements of this incarnation.
+  /// Number of this announcement within the incarnation.
   std::uint64_t Sequence = 0;
-  /// Its clock when it sent the announcement.
+  /// The worker's clock when it sent the announcement.
   WorkerMillis Clock;
 
   bool operator==(const WorkerInfo &) const = default;
 };
 
-/// A worker and when it was last heard.
 struct KnownWorker {
   WorkerInfo Info;
-  Time Heard;
-  /// The number of the last change that schedulers must hear of.
-  std::uint64_t ChangedAt = 0;
+  Time LastHeardAt;
+  /// Number of the last change to this worker that matters to schedulers.
+  std::uint64_t ChangeNumber = 0;
 };
 
-/// A worker that has been removed, and the number of that change.
 struct RemovedWorker {
   WorkerId Worker;
-  std::uint64_t ChangedAt = 0;
+  std::uint64_t ChangeNumber = 0;
 };
 
 struct WorkerDirectory {
   std::map<WorkerId, KnownWorker> Workers;
-  /// Incarnations that said goodbye, so that a late announcement does not
-  /// bring one back.
-  std::set<WorkerId> Left;
-  /// Counts the changes that schedulers must hear of.
+  /// Incarnations that have left, kept so that a delayed announcement does not
+  /// add one again.
+  std::set<WorkerId> LeftWorkers;
+  /// Counts the changes that matter to schedulers.
   std::uint64_t Changes = 0;
-  /// The latest removals, oldest first, at most MaxRemovals.
+  /// The latest removals, oldest first; at most MaxRemovals.
   std::deque<RemovedWorker> Removals;
 };
 
-/// Removals that are remembered, for entries that ask what has changed: more
-/// than a second brings when a third of 350 workers goes at once.
+/// How many removals are kept for entries that request changes: more than occur
+/// within a second when a third of 350 workers are lost at once.
 constexpr std::size_t MaxRemovals = 512;
 
-/// What has changed since one has heard of the first \p Since changes.
+/// The changes to the directory after a given change number.
 struct DirectoryChanges {
-  /// All workers are listed, as the removals do not reach back far enough.
-  bool Whole = false;
-  /// In the order of their changes.
+  /// All workers are listed, since the kept removals do not reach back far
+  /// enough.
+  bool IsFullList = false;
+  /// In the order of their change numbers.
   std::vector<const KnownWorker *> Changed;
   std::vector<WorkerId> Removed;
-  /// The number of the last change that this covers.
-  std::uint64_t Upto = 0;
+  /// Number of the last change included.
+  std::uint64_t LastChange = 0;
 };
-/// A list that is told in parts.
-struct ChangesWanted {
-  /// Changes that are known.
+/// A request for changes; a full list may be fetched in parts.
+struct ChangesRequest {
+  /// Number of the last change that the receiver has.
   std::uint64_t Since = 0;
-  /// Workers in one part, those that changed first.
-  std::size_t Most = SIZE_MAX;
-  /// Removals up to this change are of no interest: none of those workers was
-  /// told of.
-  std::uint64_t ListedFrom = 0;
+  /// Limit on the workers in one part; those with the lowest change numbers
+  /// come first.
+  std::size_t MaxWorkers = SIZE_MAX;
+  /// The directory's change number when the receiver's list was begun. Earlier
+  /// removals do not matter: none of those workers was listed to it.
+  std::uint64_t ListStart = 0;
 };
 DirectoryChanges changesSince(const WorkerDirectory &Directory,
-                              const ChangesWanted &Wanted);
+                              const ChangesRequest &Request);
 inline DirectoryChanges changesSince(const WorkerDirectory &Directory,
                                      std::uint64_t Since) {
-  ChangesWanted Wanted;
-  Wanted.Since = Since;
-  return changesSince(Directory, Wanted);
+  ChangesRequest Request;
+  Request.Since = Since;
+  return changesSince(Directory, Request);
 }
 
-/// A worker that has not announced itself for so long is dropped. Workers
-/// announce every second or two; a crashed one says nothing.
-constexpr Duration WorkerSilence = std::chrono::seconds(8);
+/// A worker that has not been heard for this long is removed. Workers announce
+/// themselves every second or two; one that has crashed just stops.
+constexpr Duration WorkerTimeout = std::chrono::seconds(8);
 
-/// Takes an announcement of \p Info. Returns false if it is older than what is
-/// known.
+/// Applies an announcement. Returns false if it is outdated or the incarnation
+/// has left.
 bool announce(WorkerDirectory &Directory, const WorkerInfo &Info, Time Now);
-/// Removes the worker, if it is there.
+/// Does nothing if the worker is unknown.
 void removeWorker(WorkerDirectory &Directory, const WorkerId &Worker);
-/// Notes that the incarnation has ended.
-void leave(WorkerDirectory &Directory, const WorkerId &Worker);
-/// Notes that the leader still knows these workers.
+/// Removes the worker and ignores later announcements of this incarnation.
+void recordLeave(WorkerDirectory &Directory, const WorkerId &Worker);
+/// Records that another control VM still hears these workers.
 void confirmWorkers(WorkerDirectory &Directory,
                     const std::set<WorkerId> &Workers, Time Now);
-/// Drops the workers that are silent.
-void dropSilent(WorkerDirectory &Directory, Time Now);
+/// Removes the workers that have not been heard within WorkerTimeout.
+void dropSilentWorkers(WorkerDirectory &Directory, Time Now);
 
-/// A digest of all that schedulers must hear of a worker. Processes of one
-/// build agree on it.
+/// A digest of all that matters to schedulers about a worker. Only equal
+/// between processes of one build.
 std::uint64_t digestOf(const WorkerInfo &Info);
 
 Json::Value write(const WorkerInfo &Value);
