--- a/src/jobs/internal/evacuationservice.cpp
+++ b/src/jobs/internal/evacuationservice.cpp
@@ -169,9 +169,9 @@
       Result["entries_behind"].append(Entry.At.text());
     if (Found == EvacuationReports_.end())
       continue;
-    auto There = Found->second.Running.find(DataCentre);
-    if (There != Found->second.Running.end())
-      Running += There->second;
+    auto InDataCentre = Found->second.Running.find(DataCentre);
+    if (InDataCentre != Found->second.Running.end())
+      Running += InDataCentre->second;
   }
   Result["running"] = Json::UInt64(Running);
   return Result;
--- a/src/jobs/internal/servicesync.cpp
+++ b/src/jobs/internal/servicesync.cpp
@@ -33,7 +33,7 @@
 /// times a second. Without a report for this long the claim is dropped.
 constexpr Duration OwnerReportValidity = std::chrono::seconds(2);
 /// Largest document, in bytes, that is sent in a sync reply. Larger ones are
-/// fetched separately, with a longer timeout: a leader with half a core cannot
+/// fetched separately, with more time allowed: a leader with half a core cannot
 /// send a document of a thousand queues to forty entries within the 400 ms
 /// after which they retry, and would be asked again for ever.
 constexpr std::size_t MaxDocumentInSync = std::size_t{16} << 10U;
--- a/src/jobs/internal/workerlists.cpp
+++ b/src/jobs/internal/workerlists.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t MaxWorkersPerShare = 200;
 
 /// Largest list that is sent in a sync reply; longer ones are fetched
-/// separately, with a longer timeout.
+/// separately, with more time allowed.
 constexpr std::size_t MaxWorkersInSync = 50;
 /// Workers announce themselves every 1.5 s. Within this time each has done so,
 /// even if the first control VM that it tried did not answer.
--- a/src/jobs/tests/controlfake.cpp
+++ b/src/jobs/tests/controlfake.cpp
@@ -40,7 +40,7 @@
   ++Sequence_;
   for (WorkerInfo Info : Fake_.announced()) {
     Info.Sequence = Sequence_;
-    Service.announceWorker(Info, [](const Outcome<Done> & /*Was*/) {
+    Service.announceWorker(Info, [](const Outcome<Done> & /*Result*/) {
       // The next announcement follows soon.
     });
   }
