--- a/src/jobs/internal/transientjobs.cpp
+++ b/src/jobs/internal/transientjobs.cpp
@@ -53,7 +53,7 @@
   Arriving.Chain = longestChain(New, Now);
   Arriving.Useful = scheduling::answerDeadlines(
       New.Promised, Arriving.Chain, Now - Request.Age, Now + Request.TimeLeft);
-  Arriving.NotStarted = firstTasks(New.Spec);
+  Arriving.NotStarted = initialTaskCount(New.Spec);
   New.Suspects = knownSuspects(New);
   bool Guilty = std::any_of(
       New.Suspects.begin(), New.Suspects.end(),
