--- a/src/jobs/ijobgateway.h
+++ b/src/jobs/ijobgateway.h
@@ -1,7 +1,7 @@
-//===- ijobgateway.h - Asking the leader about jobs -------------*- C++ -*-===//
+//===- ijobgateway.h - Interface for callers' job requests ------*- C++ -*-===//
 //
-// How an entry hands callers' requests to the control VM that leads, wherever
-// it is.
+// Forwards callers' requests to whichever process handles them: the owner of a
+// pool, or the control VM that leads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,16 +16,16 @@
 
 namespace geraniumbay::jobs {
 
-/// What became of a request.
+/// The result of a request.
 enum class JobOutcome {
   Accepted,  ///< The job is stored durably, now or earlier.
   Known,     ///< The job's state or the queue's count is in the answer.
   Cancelled, ///< The job is cancelled durably, or had ended.
-  NoQueue,   ///< No queue has this place.
+  NoQueue,   ///< No queue matches this host and path.
   NoJob,     ///< The leader is sure that there is no such job.
-  Invalid,   ///< The request makes no sense; Reason says why.
-  NotTaken,  ///< It certainly had no effect. Come back after RetryAfter.
-  Unknown,   ///< It may have had an effect; sending it again is harmless.
+  Invalid,   ///< The request is malformed; see Reason.
+  NotTaken,  ///< It had no effect for certain. Retry after RetryAfter.
+  Unknown,   ///< It may have had an effect; resending it is safe.
 };
 
 /// Stable name of \p Outcome for logs.
@@ -40,22 +40,22 @@
   std::uint64_t Pending = 0;
   Duration RetryAfter{0};
   std::string Reason;
-  /// Of one that was not taken by a pool's owner, for the entry that asked: the
-  /// pool's data centre is evacuated; and tasks of the job have run there,
-  /// which have all ended.
+  /// Set by a pool's owner that refuses a job, for the entry that sent it: the
+  /// pool's data centre is evacuated; and tasks of the job had been started
+  /// there, all of which have ended.
   bool Evacuated = false;
   bool HasRun = false;
 };
 
-/// An answer that says no more than what came of the request, and why.
-inline JobAnswer outcome(JobOutcome What, std::string Reason = "") {
+/// An answer with only an outcome and a reason.
+inline JobAnswer outcome(JobOutcome Outcome, std::string Reason = "") {
   JobAnswer Result;
-  Result.Outcome = What;
+  Result.Outcome = Outcome;
   Result.Reason = std::move(Reason);
   return Result;
 }
 
-/// Where a request goes and how long its caller waits.
+/// The target of a request, and how long its caller waits.
 struct JobRequest {
   std::string Host;
   std::string Path;
@@ -68,8 +68,8 @@
 
   virtual ~IJobGateway() = default;
 
-  /// Returns a function that gives the request up: its caller has gone. A
-  /// transient job that nobody waits for is stopped.
+  /// Returns a function that abandons the request, to be called when the caller
+  /// has disconnected. A transient job that nobody waits for is stopped.
   virtual std::function<void()> submit(const JobRequest &Request,
                                        const JobSpec &Spec, Callback Done) = 0;
   /// The state of the job at the request's path.
@@ -79,10 +79,10 @@
   virtual void pending(const JobRequest &Request, Callback Done) = 0;
   /// Whether this entry can serve.
   virtual bool ready() const = 0;
-  /// Takes control VMs from changed settings beside those that are known.
+  /// Adds the control VMs of changed settings to the known ones.
   virtual void addControlVms(const std::vector<Endpoint> &Found) = 0;
-  /// The entry is about to stop: others take over what it decides. It goes on
-  /// to serve its callers.
+  /// Called before the entry stops: hands its pools over to other entries. It
+  /// continues to serve its callers.
   virtual void prepareStop() = 0;
 };
 
--- a/src/jobs/internal/routing.cpp
+++ b/src/jobs/internal/routing.cpp
@@ -1,4 +1,4 @@
-//===- routing.cpp - Which queue a request belongs to ---------------------===//
+//===- routing.cpp - Mapping of requests to queues ------------------------===//
 //
 // Longest-prefix match.
 //
@@ -8,15 +8,16 @@
 
 namespace geraniumbay::jobs {
 
-QueueMatch findQueue(const Routing &In, const std::string &Host,
+QueueMatch findQueue(const Routing &Config, const std::string &Host,
                      const std::string &Path) {
   const Queue *Best = nullptr;
-  for (const Queue &Each : In.Queues) {
-    const std::string &Prefix = Each.Place.PathPrefix;
-    if (Each.Place.Host != Host || Path.compare(0, Prefix.size(), Prefix) != 0)
+  for (const Queue &Candidate : Config.Queues) {
+    const std::string &Prefix = Candidate.Place.PathPrefix;
+    if (Candidate.Place.Host != Host ||
+        Path.compare(0, Prefix.size(), Prefix) != 0)
       continue;
     if (!Best || Prefix.size() > Best->Place.PathPrefix.size())
-      Best = &Each;
+      Best = &Candidate;
   }
   if (!Best)
     return {};
--- a/src/jobs/internal/submission.cpp
+++ b/src/jobs/internal/submission.cpp
@@ -1,6 +1,6 @@
-//===- submission.cpp - From a request to a job and back ------------------===//
+//===- submission.cpp - Conversion of submissions and answers -------------===//
 //
-// Building a job from its queue, and an answer from its end.
+// Creates a job from its queue, and an answer from the job's end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -8,17 +8,17 @@
 
 namespace geraniumbay::jobs {
 
-Job newJob(const QueueMatch &Where, JobSpec Spec) {
-  const Queue &In = *Where.Found;
+Job newJob(const QueueMatch &Match, JobSpec Spec) {
+  const Queue &Source = *Match.Found;
   Job Result;
-  Result.Id = JobId(Where.Rest);
-  Result.Place = In.Place;
-  Result.Queue = In.Name;
-  Result.Service = In.Service;
-  Result.Priority = In.Priority;
-  Result.MaxFailures = In.MaxFailures;
+  Result.Id = JobId(Match.Rest);
+  Result.Place = Source.Place;
+  Result.Queue = Source.Name;
+  Result.Service = Source.Service;
+  Result.Priority = Source.Priority;
+  Result.MaxFailures = Source.MaxFailures;
   if (Spec.Transient)
-    Result.Promised = In.Promised;
+    Result.Promised = Source.Promised;
   Result.Spec = std::move(Spec);
   return Result;
 }
--- a/src/jobs/internal/submission.h
+++ b/src/jobs/internal/submission.h
@@ -1,6 +1,6 @@
-//===- submission.h - From a request to a job and back ----------*- C++ -*-===//
+//===- submission.h - Conversion of submissions and answers -----*- C++ -*-===//
 //
-// What entries and control VMs do alike with a submission.
+// The conversions that entries and control VMs share.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,11 +13,11 @@
 
 namespace geraniumbay::jobs {
 
-/// The job that a caller submits to the queue of \p Where.
-Job newJob(const QueueMatch &Where, JobSpec Spec);
+/// Creates the job for a submission to the queue of \p Match.
+Job newJob(const QueueMatch &Match, JobSpec Spec);
 
-/// The answer to callers that waited for a transient job. One that was
-/// cancelled had not begun.
+/// The answer to callers that waited for a transient job. A cancelled job had
+/// not been started, so it is answered as not taken.
 JobAnswer answerOfEnd(const TransientEnd &Ended);
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/routing.h
+++ b/src/jobs/routing.h
@@ -1,7 +1,7 @@
-//===- routing.h - Which queue a request belongs to -------------*- C++ -*-===//
+//===- routing.h - Mapping of requests to queues ----------------*- C++ -*-===//
 //
-// The queues and services of the configuration in force, as the job service
-// uses them, whatever the format of the document that holds them.
+// The queues and services of the configuration in force, independent of the
+// format of the document that defines them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 namespace geraniumbay::jobs {
 
-/// The version that the operator gave to a document; the highest is in force.
+/// The operator's version number of a document; the highest is in force.
 using DocumentVersion = StrongId<struct DocumentVersionTag, std::uint64_t>;
 
 /// A queue of the configuration.
@@ -23,31 +23,31 @@
   QueueName Name;
   QueuePlace Place;
   ServiceId Service;
-  /// 0 goes first.
+  /// 0 is the most urgent.
   std::uint32_t Priority = 0;
-  /// A task that has failed this often fails its job.
+  /// A task that has failed this many times fails its job.
   std::uint32_t MaxFailures = 1;
   scheduling::Objective Promised;
 };
 
-/// What a document says.
+/// The contents of a configuration document.
 struct Routing {
   DocumentVersion Version;
   std::vector<Queue> Queues;
 };
 
-/// Reads a document. InvalidArgument says what is wrong with it.
+/// Parses a document. An InvalidArgument error describes what is wrong with it.
 using RoutingReader = std::function<RetVal<Routing>(const std::string &)>;
 
-/// A queue and what follows its prefix in a path.
+/// A queue and the rest of the path after the queue's prefix.
 struct QueueMatch {
   const Queue *Found = nullptr;
   std::string Rest;
 };
 
-/// Finds the queue of \p Host with the longest prefix that \p Path begins
-/// with; Found is null if there is none.
-QueueMatch findQueue(const Routing &In, const std::string &Host,
+/// Finds the queue of \p Host with the longest prefix of \p Path; Found is null
+/// if no queue matches.
+QueueMatch findQueue(const Routing &Config, const std::string &Host,
                      const std::string &Path);
 
 } // namespace geraniumbay::jobs
