--- a/src/jobs/internal/entryanswers.cpp
+++ b/src/jobs/internal/entryanswers.cpp
@@ -1,7 +1,7 @@
-//===- entryanswers.cpp - How an entry's requests end ---------------------===//
+//===- entryanswers.cpp - Answers to an entry's requests ------------------===//
 //
-// An owner's answers, jobs that wait for another owner, and what callers are
-// told.
+// Owners' answers, jobs that wait for another owner, and the answers to
+// callers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,105 +21,112 @@
 
 } // namespace
 
-void EntryJobs::answered(const AskPtr &What, std::uint64_t Attempt,
-                         const Endpoint &From,
-                         const Outcome<Json::Value> &Result) {
+void EntryJobs::handleOwnerReply(const PendingRequestPtr &Request,
+                                 std::uint64_t Attempt, const Endpoint &From,
+                                 const Outcome<Json::Value> &Result) {
   if (Result && !Result->isMember("not_owner") &&
       !Result->isMember("registered")) {
-    // The answer to an earlier sending is as good as any.
+    // A result is valid even if it answers an earlier attempt.
     auto Answer = attempt([&] { return wire::readAnswer(*Result); });
-    if (Answer && Attempt == What->Attempt)
-      return settle(What, *Answer);
+    if (Answer && Attempt == Request->Attempt)
+      return handleOwnerAnswer(Request, *Answer);
     if (Answer && Answer->Outcome == JobOutcome::Known)
-      return finish(What, *Answer);
+      return finish(Request, *Answer);
   }
-  if (Attempt != What->Attempt)
+  if (Attempt != Request->Attempt)
     return;
   if (Result && (*Result)["registered"].isString())
-    return registered(What, PoolName((*Result)["registered"].asString()));
+    return redirect(Request, PoolName((*Result)["registered"].asString()));
   bool Refused = !Result && Result.error().Code == ErrorCode::Refused;
   if (Refused)
-    noteRefused(Peers_, From, Needs_.Clock.now());
+    noteRefused(Peers_, From, Deps_.Clock.now());
   if (!Result && !Refused)
-    What->MaybeTaken = true;
+    Request->MaybeTaken = true;
   if (Result) {
-    if (PoolMember *In = findPool(What->Pool))
-      In->takeClaim(*Result, From);
+    if (PoolMember *Pool = findPool(Request->Pool))
+      Pool->takeClaim(*Result, From);
     if (Result->isMember("maybe_taken"))
-      What->MaybeTaken = true;
+      Request->MaybeTaken = true;
   }
-  What->SearchUntil = Needs_.Clock.now() + SearchTime;
-  park(What);
+  Request->SearchUntil = Deps_.Clock.now() + SearchTime;
+  park(Request);
 }
 
-void EntryJobs::park(const AskPtr &What) {
-  // The tick sends it once there is an owner, or gives it up.
-  What->SentTo.reset();
+void EntryJobs::park(const PendingRequestPtr &Request) {
+  // The tick sends it once the pool has an owner, or gives it up.
+  Request->SentTo.reset();
 }
 
 void EntryJobs::redispatchParked() {
-  std::vector<AskPtr> Due;
-  for (const AskPtr &What : Asks_) {
-    PoolMember *In = findPool(What->Pool);
-    // One that waits for an owner who is no more is sent to the next.
-    if (!What->SentTo || !In || What->SentTo->At != In->view().Owner.At)
-      Due.push_back(What);
+  std::vector<PendingRequestPtr> Due;
+  for (const PendingRequestPtr &Request : PendingRequests_) {
+    PoolMember *Pool = findPool(Request->Pool);
+    // A job that was sent to a former owner is sent to the present one.
+    if (!Request->SentTo || !Pool ||
+        Request->SentTo->At != Pool->view().Owner.At)
+      Due.push_back(Request);
   }
-  for (const AskPtr &What : Due)
-    redispatch(What);
+  for (const PendingRequestPtr &Request : Due)
+    redispatch(Request);
 }
 
-void EntryJobs::redispatch(const AskPtr &What) {
-  Time Now = Needs_.Clock.now();
-  if (What->SentTo) {
-    What->MaybeTaken = true;
-    What->SearchUntil = Now + SearchTime;
-    park(What);
+void EntryJobs::redispatch(const PendingRequestPtr &Request) {
+  Time Now = Deps_.Clock.now();
+  if (Request->SentTo) {
+    Request->MaybeTaken = true;
+    Request->SearchUntil = Now + SearchTime;
+    park(Request);
   }
-  PoolMember *In = findPool(What->Pool);
-  if (What->MaybeTaken && !In)
-    // The workers have been divided anew meanwhile.
-    return finish(What, outcome(JobOutcome::Unknown, "its pool is no more"));
-  if (Now >= std::min(What->SearchUntil, What->GiveUp))
-    return finish(What, What->MaybeTaken
-                            ? outcome(JobOutcome::Unknown, "the owner was lost")
-                            : notTaken("no owner of the workers was found"));
-  bool Elsewhere = What->MaybeTaken && What->TakenBy != In->view().Owner.At;
-  if (!Elsewhere || Now >= givenUpBy(In->view(), What->TakenBy, Now))
-    dispatch(What);
+  PoolMember *Pool = findPool(Request->Pool);
+  if (Request->MaybeTaken && !Pool)
+    // The workers have been divided into other pools in the meantime.
+    return finish(Request, outcome(JobOutcome::Unknown, "its pool is no more"));
+  if (Now >= std::min(Request->SearchUntil, Request->Deadline))
+    return finish(Request,
+                  Request->MaybeTaken
+                      ? outcome(JobOutcome::Unknown, "the owner was lost")
+                      : notTaken("no owner of the workers was found"));
+  bool SentElsewhere =
+      Request->MaybeTaken && Request->LastOwner != Pool->view().Owner.At;
+  if (!SentElsewhere || Now >= givenUpBy(Pool->view(), Request->LastOwner, Now))
+    dispatch(Request);
 }
 
-void EntryJobs::finish(const AskPtr &Asked, const JobAnswer &Answer) {
-  // Keeps the request: the caller may hold the last other reference to it.
-  auto Kept = Asks_.extract(Asked);
-  if (!Kept)
+void EntryJobs::finish(const PendingRequestPtr &Request,
+                       const JobAnswer &Answer) {
+  // Keeps the request alive: the calling function may hold the only other
+  // reference to it.
+  auto Node = PendingRequests_.extract(Request);
+  if (!Node)
     return;
-  const AskPtr &What = Kept.value();
-  ++What->Attempt;
-  // "Not run" must be true of every owner that had the job.
+  const PendingRequestPtr &Kept = Node.value();
+  ++Kept->Attempt;
+  // "Not run" may only be answered if it holds for every owner that had the
+  // job.
   bool Doubtful = Answer.Outcome == JobOutcome::NotTaken &&
-                  (What->MaybeTaken || What->HasRun);
-  JobAnswer Told =
+                  (Kept->MaybeTaken || Kept->HasRun);
+  JobAnswer Final =
       Doubtful ? outcome(JobOutcome::Unknown, Answer.Reason) : Answer;
-  logAnswer(*What, Told);
-  What->Done(Told);
+  logAnswer(*Kept, Final);
+  Kept->Done(Final);
 }
 
-void EntryJobs::logAnswer(const Ask &Of, const JobAnswer &Told) const {
-  bool Served = Told.Outcome == JobOutcome::Known;
-  Time Now = Needs_.Clock.now();
+void EntryJobs::logAnswer(const PendingRequest &Request,
+                          const JobAnswer &Answer) const {
+  bool Served = Answer.Outcome == JobOutcome::Known;
+  Time Now = Deps_.Clock.now();
   logEvent(Served ? LogLevel::Info : LogLevel::Warning, Module, "job_answered",
-           {{"job", Of.Wanted.Id},
-            {"outcome", outcomeName(Told.Outcome)},
-            {"state", Served ? jobStateName(Told.State) : ""},
-            {"reason", Told.Reason},
-            {"queue", Of.Wanted.Queue},
-            {"configuration", RoutingFrom_},
-            {"pool", Of.Pool},
-            {"owner", Of.TakenBy.text()},
-            {"sendings", Of.Attempt},
-            {"took_us", (Now - Of.Since).count()},
-            {"left_us", (Of.GiveUp - Now).count()}});
+           {{"job", Request.Wanted.Id},
+            {"outcome", outcomeName(Answer.Outcome)},
+            {"state", Served ? jobStateName(Answer.State) : ""},
+            {"reason", Answer.Reason},
+            {"queue", Request.Wanted.Queue},
+            {"configuration", RoutingVersion_},
+            {"pool", Request.Pool},
+            {"owner", Request.LastOwner.text()},
+            {"sendings", Request.Attempt},
+            {"took_us", (Now - Request.ReceivedAt).count()},
+            {"left_us", (Request.Deadline - Now).count()}});
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/entryask.h
+++ b/src/jobs/internal/entryask.h
@@ -1,6 +1,6 @@
-//===- entryask.h - A caller's job on its way through an entry --*- C++ -*-===//
+//===- entryask.h - Pending requests of an entry ----------------*- C++ -*-===//
 //
-// The state of one transient job between its caller and the owner of the pool.
+// The state of a transient job between its caller and the owner of the pool.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,83 +12,86 @@
 
 namespace geraniumbay::jobs {
 
-/// A process that has stood still for so long may hold requests whose callers
-/// have come back elsewhere, which they do after 1.3 s; by then they must have
-/// been started or given up. Busy processes are late by less.
+/// After a pause of this length, a process may hold requests whose callers have
+/// already retried elsewhere. They retry after 1.3 s; by then a request must
+/// have been started or given up. Load alone delays a process by less.
 constexpr Duration LongPause = std::chrono::milliseconds(500);
 
-/// How long a job may look for an owner: the time in which one is replaced.
-/// After it the caller is told to come back instead.
+/// How long a job waits for its pool to have an owner: the time in which a lost
+/// owner is replaced. After that the caller is told to retry.
 constexpr Duration SearchTime = BeforeCallersReturn;
-/// What the caller is told to wait then.
+/// The retry delay that the caller is then given.
 constexpr Duration RetryAfterNoOwner = std::chrono::seconds(1);
 
-/// The answer to a job that no owner has had.
+/// The answer to a job that was not sent to any owner.
 inline JobAnswer notTaken(std::string Reason) {
   JobAnswer Result = outcome(JobOutcome::NotTaken, std::move(Reason));
   Result.RetryAfter = RetryAfterNoOwner;
   return Result;
 }
 
-struct EntryJobs::Ask {
+struct EntryJobs::PendingRequest {
   Job Wanted;
   Callback Done;
-  /// Names this request at the owner.
-  WaiterId Own;
-  Time Since;
-  /// The caller waits until then.
-  Time GiveUp;
-  /// Without an owner the job is given up then.
+  /// Identifies this request at the owner.
+  WaiterId Waiter;
+  Time ReceivedAt;
+  /// The caller stops waiting then.
+  Time Deadline;
+  /// If its pool has no owner by then, the job is given up.
   Time SearchUntil;
-  /// The pool it goes to. It stays there once an owner may have taken it: only
-  /// the pool's next owner finds what of it runs.
+  /// The chosen pool. It is fixed once an owner may have accepted the job,
+  /// since only the pool's next owner finds the job's running tasks.
   PoolName Pool;
   Time PoolChosen;
-  /// The job's registrar has named the pool above, which has the job, and how
-  /// often one has.
+  /// The job's registrar has named Pool as the holder of the job; and how often
+  /// a registrar has redirected the job.
   bool Registered = false;
   std::size_t Redirections = 0;
   /// Pools whose owners have refused it.
   std::set<PoolName> RefusedBy;
-  /// How many of them had no room in time.
+  /// How many of them refused it for lack of free capacity.
   std::size_t Refusals = 0;
-  /// The last refusal; it stands where no other pool is known.
+  /// The last refusal; it becomes the answer if no other pool is left.
   JobAnswer Refusal;
-  /// Counts the sendings; the answers to earlier ones are late.
+  /// The number of the latest attempt to send the job; replies to earlier
+  /// attempts are outdated.
   std::uint64_t Attempt = 0;
-  /// Where it was sent last; unset while it waits for an owner.
+  /// The owner with the latest attempt; unset while the job is parked.
   std::optional<OwnerClaim> SentTo;
   /// An owner may have started tasks of it.
   bool MaybeTaken = false;
-  /// Which one, last.
-  Endpoint TakenBy;
-  /// Tasks of it have run in a data centre that is evacuated, and have ended.
+  /// The owner that the job was last sent to.
+  Endpoint LastOwner;
+  /// Tasks of it were started in an evacuated data centre, and have ended.
   bool HasRun = false;
 };
 
-/// A job that an entry, this one or another, has brought to a pool of this one,
-/// and that waits for its registrar.
+/// A job that an entry (possibly this one) has sent to a pool owned by this
+/// entry, and that waits for its registrar.
 struct EntryJobs::Incoming {
   Job Wanted;
-  /// As of its coming.
-  Arrival How;
+  /// As of the job's arrival.
+  Arrival ArrivalInfo;
   Time Since;
-  /// The pool that it was brought to, and the token under which this entry
-  /// owns that.
+  /// The pool that it was sent to, and the token under which this entry owns
+  /// that pool.
   PoolName Pool;
   FencingToken Token;
-  /// Empty where there is one pool, whose owner asks nobody.
+  /// Empty if there is a single pool, whose owner needs no registrar.
   PoolName Home;
-  /// Counts the jobs that were brought to this entry.
+  /// A running number, in the order of arrival at this entry.
   std::uint64_t Number = 0;
-  /// The registrar that its entry knows; used for homes in other data centres.
+  /// The registrar known to the sending entry; used for homes in other data
+  /// centres.
   std::optional<Endpoint> Registrar;
-  /// The last question to the registrar; 0 if there was none.
+  /// The number of the last claim sent to the registrar; 0 if there was none.
   std::uint64_t Question = 0;
-  /// Told how it ended. Refused: it was certainly not taken.
-  Scheduler::EndCallback Ended;
-  /// Told the pool that has the job.
-  std::function<void(const PoolName &)> Elsewhere;
+  /// Called with the job's end. The error Refused means that it was certainly
+  /// not accepted.
+  Scheduler::EndCallback OnEnded;
+  /// Called with the pool that holds the job instead of this one.
+  std::function<void(const PoolName &)> OnRedirected;
 };
 
 inline bool EntryJobs::ByArrival::operator()(const IncomingPtr &One,
@@ -96,12 +99,12 @@
   return One->Number < Other->Number;
 }
 
-/// Whether a job was refused or given up by the pool's owner.
+/// Whether the pool's owner refused the job or gave it up.
 inline bool wasRefused(const Outcome<TransientEnd> &Ended) {
   return Ended && Ended->State == JobState::Cancelled;
 }
 
-/// Reads who waits for a job at the entry \p Origin.
+/// Reads the identity of the request waiting at the entry \p Origin.
 WaiterId waiterOf(const Json::Value &From, const Endpoint &Origin);
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/entryjobs.cpp
+++ b/src/jobs/internal/entryjobs.cpp
@@ -1,7 +1,7 @@
 //===- entryjobs.cpp - Jobs on an entry -----------------------------------===//
 //
-// Callers' requests, and transient jobs on their way to the owner of the pool.
-// What comes back is in entryanswers.cpp.
+// Handles callers' requests and sends transient jobs to the owner of the pool.
+// The owner's replies are handled in entryanswers.cpp.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,74 +20,76 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// Requests that come within this time after a pause may have waited in a
-/// socket meanwhile: a loop takes all that waits there in a few turns.
-constexpr Duration AfterPause = std::chrono::milliseconds(50);
-/// A job that has not been sent keeps its pool for so long, the time in which
-/// the pool's owner is asked whether it is there.
-constexpr Duration ChoiceLasts = std::chrono::milliseconds(50);
-/// An owner is told that a caller has gone until it answers. A message that is
-/// lost in a connection gone silent would leave the job running for nobody, and
-/// the caller comes back after 1.3 s, perhaps to another pool.
+/// Requests read within this time after a pause may have waited in a socket
+/// during it: the event loop drains its sockets in a few iterations.
+constexpr Duration SocketDrainTime = std::chrono::milliseconds(50);
+/// An unsent job keeps its chosen pool for this long, the time in which a ping
+/// shows whether the pool's owner can be reached.
+constexpr Duration ChoiceValidFor = std::chrono::milliseconds(50);
+/// The message that a caller has disconnected is repeated until the owner
+/// answers. If it were lost in a dead connection, the job would run on without
+/// a caller, while the caller retries after 1.3 s, perhaps in another pool.
 constexpr Duration DropTimeout = std::chrono::milliseconds(150);
-constexpr int MostDrops = 7;
-/// A registrar names a pool, which may refuse the job while the registrar has
-/// not heard of that; after so many turns the job is refused.
-constexpr std::size_t MostRedirections = 4;
-/// Left to the owner's answer for its way back.
+constexpr int MaxDropAttempts = 7;
+/// A registrar redirects a job to the pool that holds it. That pool may refuse
+/// the job before the registrar learns that it gave the job up; after this many
+/// redirections the job is refused.
+constexpr std::size_t MaxRedirections = 4;
+/// Time for the owner's answer to travel back.
 constexpr Duration AnswerMargin = std::chrono::milliseconds(10);
 
-/// A process starts later than the one before it at the same address.
+/// The start time, since a process starts later than its predecessor at the
+/// same address.
 std::uint64_t incarnationAt(const IClock &Clock) {
   return static_cast<std::uint64_t>(std::max<WallMillis>(Clock.wallNow(), 1));
 }
 
 } // namespace
 
-EntryJobs::EntryJobs(EntryNeeds Needs, EntryPlace Self,
+EntryJobs::EntryJobs(EntryDependencies Deps, EntryPlace Self,
                      std::vector<Endpoint> ControlVms, RoutingReader Reader,
                      LeaseSettings Lease)
-    : Needs_(Needs), Self_(std::move(Self.At)),
+    : Deps_(Deps), Self_(std::move(Self.At)),
       DataCentre_(std::move(Self.DataCentre)), Reader_(std::move(Reader)),
       Lease_(Lease),
-      Control_(std::move(ControlVms), Needs.Client, Needs.Clock, Needs.Timers,
-               {[this] { return askControl(); },
+      Control_(std::move(ControlVms), Deps.Client, Deps.Clock, Deps.Timers,
+               {[this] { return makeSyncRequest(); },
                 [this](const Json::Value &Result, const Endpoint &From) {
-                  takeControl(Result, From);
+                  applySyncReply(Result, From);
                 },
                 [this] { return !ready(); }}),
-      StartedAt_(Needs.Clock.now()), Incarnation_(incarnationAt(Needs.Clock)) {
-  memberOf(poolOfAll(), DataCentre_);
+      StartedAt_(Deps.Clock.now()), Incarnation_(incarnationAt(Deps.Clock)) {
+  getOrCreatePool(poolOfAll(), DataCentre_);
 }
 
 void EntryJobs::start() {
-  Needs_.Server.method(wire::method::Ping,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         answerPing(Params, Answer);
-                       });
-  Needs_.Server.method(wire::method::Run,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         answerRun(Params, Answer);
-                       });
-  Needs_.Server.method(wire::method::Drop,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         answerDrop(Params, Answer);
-                       });
-  Needs_.Server.method(wire::method::Register,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         answerRegister(Params, Answer);
-                       });
-  Needs_.Server.method(wire::method::Report,
-                       [this](const Json::Value &Params, const Reply &Answer) {
-                         answerReport(Params, Answer);
-                       });
+  Deps_.Server.method(wire::method::Ping,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        answerPing(Params, Answer);
+                      });
+  Deps_.Server.method(wire::method::Run,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        answerRun(Params, Answer);
+                      });
+  Deps_.Server.method(wire::method::Drop,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        answerDrop(Params, Answer);
+                      });
+  Deps_.Server.method(wire::method::Register,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        answerRegister(Params, Answer);
+                      });
+  Deps_.Server.method(wire::method::Report,
+                      [this](const Json::Value &Params, const Reply &Answer) {
+                        answerReport(Params, Answer);
+                      });
   Control_.start();
   tick();
   pingAll();
 }
 
 bool EntryJobs::ready() const {
-  if (RoutingFrom_ == ConfigVersion(0) || Stopping_)
+  if (RoutingVersion_ == ConfigVersion(0) || Stopping_)
     return false;
   if (ControlSchedules_)
     return Control_.ready();
@@ -104,14 +106,14 @@
 std::function<void()> EntryJobs::submit(const JobRequest &Request,
                                         const JobSpec &Spec, Callback Done) {
   auto Nothing = [] {
-    // It is answered, or a durable job, which goes on without its caller.
+    // Already answered, or a durable job, which continues without its caller.
   };
-  if (RoutingFrom_ == ConfigVersion(0)) {
+  if (RoutingVersion_ == ConfigVersion(0)) {
     refuse(Request, notTaken("this entry has no configuration yet"), Done);
     return Nothing;
   }
-  QueueMatch Where = findQueue(Routing_, Request.Host, Request.Path);
-  if (!Where.Found) {
+  QueueMatch Match = findQueue(Routing_, Request.Host, Request.Path);
+  if (!Match.Found) {
     refuse(Request, outcome(JobOutcome::NoQueue), Done);
     return Nothing;
   }
@@ -123,76 +125,78 @@
     Control_.submit(Request, Spec, std::move(Done));
     return Nothing;
   }
-  Time Now = Needs_.Clock.now();
-  auto What = std::make_shared<Ask>();
-  What->Wanted = newJob(Where, Spec);
-  What->Done = std::move(Done);
-  What->Own = {Self_, Incarnation_, ++LastSerial_};
-  What->Since = Now;
-  What->GiveUp = Now + Request.Timeout;
-  What->SearchUntil = Now + SearchTime;
-  Asks_.insert(What);
-  dispatch(What);
-  return [this, What] { abandon(What); };
+  Time Now = Deps_.Clock.now();
+  auto Pending = std::make_shared<PendingRequest>();
+  Pending->Wanted = newJob(Match, Spec);
+  Pending->Done = std::move(Done);
+  Pending->Waiter = {Self_, Incarnation_, ++LastSerial_};
+  Pending->ReceivedAt = Now;
+  Pending->Deadline = Now + Request.Timeout;
+  Pending->SearchUntil = Now + SearchTime;
+  PendingRequests_.insert(Pending);
+  dispatch(Pending);
+  return [this, Pending] { abandon(Pending); };
 }
 
-void EntryJobs::giveUpAfterPause(const AskPtr &What) {
-  finish(What, notTaken("this entry stood still"));
+void EntryJobs::giveUpAfterPause(const PendingRequestPtr &Request) {
+  finish(Request, notTaken("this entry stood still"));
 }
 
 bool EntryJobs::hasJustPaused() const {
-  Time Now = Needs_.Clock.now();
-  // The tick may not have noticed the pause yet.
+  Time Now = Deps_.Clock.now();
+  // The tick may not have detected the pause yet.
   bool Unnoticed = TickedAt_ && Now - *TickedAt_ >= LongPause;
-  return Unnoticed || (PausedUntil_ && Now - *PausedUntil_ < AfterPause);
+  return Unnoticed || (PausedUntil_ && Now - *PausedUntil_ < SocketDrainTime);
 }
 
-void EntryJobs::abandon(const AskPtr &What) {
-  if (Asks_.erase(What) == 0)
+void EntryJobs::abandon(const PendingRequestPtr &Request) {
+  if (PendingRequests_.erase(Request) == 0)
     return;
-  ++What->Attempt;
-  logEvent(LogLevel::Info, Module, "caller_gone", {{"job", What->Wanted.Id}});
-  if (!What->SentTo)
+  ++Request->Attempt;
+  logEvent(LogLevel::Info, Module, "caller_gone",
+           {{"job", Request->Wanted.Id}});
+  if (!Request->SentTo)
     return;
-  if (What->SentTo->At == Self_) {
-    PoolMember *In = findPool(What->Pool);
-    if (!dropIncoming(What->Wanted.Id, What->Own) && In && In->scheduler())
-      In->scheduler()->dropWaiter(What->Wanted.Id, What->Own);
+  if (Request->SentTo->At == Self_) {
+    PoolMember *Pool = findPool(Request->Pool);
+    if (!dropIncoming(Request->Wanted.Id, Request->Waiter) && Pool &&
+        Pool->scheduler())
+      Pool->scheduler()->dropWaiter(Request->Wanted.Id, Request->Waiter);
     return;
   }
   Json::Value Params(Json::objectValue);
-  Params["job"] = What->Wanted.Id.value();
-  writeAsker(*What, Params);
-  tellDropped(What->SentTo->At, Params, MostDrops);
+  Params["job"] = Request->Wanted.Id.value();
+  writeRequestOrigin(*Request, Params);
+  notifyDropped(Request->SentTo->At, Params, MaxDropAttempts);
 }
 
-void EntryJobs::tellDropped(const Endpoint &To, const Json::Value &Params,
-                            int Tries) {
-  Needs_.Client.call(
+void EntryJobs::notifyDropped(const Endpoint &To, const Json::Value &Params,
+                              int Tries) {
+  Deps_.Client.call(
       To, wire::method::Drop, Params, DropTimeout,
       [this, To, Params, Tries](const Outcome<Json::Value> &Result) {
         bool Refused = !Result && Result.error().Code == ErrorCode::Refused;
         if (!Result && !Refused && Tries > 1)
-          tellDropped(To, Params, Tries - 1);
+          notifyDropped(To, Params, Tries - 1);
       });
 }
 
 void EntryJobs::state(const JobRequest &Request, Callback Done) {
-  if (RoutingFrom_ != ConfigVersion(0) &&
+  if (RoutingVersion_ != ConfigVersion(0) &&
       !findQueue(Routing_, Request.Host, Request.Path).Found)
     return Done(outcome(JobOutcome::NoQueue));
   Control_.state(Request, std::move(Done));
 }
 
 void EntryJobs::cancel(const JobRequest &Request, Callback Done) {
-  if (RoutingFrom_ != ConfigVersion(0) &&
+  if (RoutingVersion_ != ConfigVersion(0) &&
       !findQueue(Routing_, Request.Host, Request.Path).Found)
     return Done(outcome(JobOutcome::NoQueue));
   Control_.cancel(Request, std::move(Done));
 }
 
 void EntryJobs::pending(const JobRequest &Request, Callback Done) {
-  if (RoutingFrom_ == ConfigVersion(0))
+  if (RoutingVersion_ == ConfigVersion(0))
     return Done(notTaken("this entry has no configuration yet"));
   if (!findQueue(Routing_, Request.Host, Request.Path).Found)
     return Done(outcome(JobOutcome::NoQueue));
@@ -202,145 +206,150 @@
   Done(outcome(JobOutcome::Known));
 }
 
-PoolMember *EntryJobs::poolFor(const AskPtr &What) {
-  PoolMember *Chosen = findPool(What->Pool);
-  Time Now = Needs_.Clock.now();
-  bool Stays = What->MaybeTaken || What->Registered ||
-               Now - What->PoolChosen < ChoiceLasts;
-  if (Stays && !What->Pool.value().empty())
+PoolMember *EntryJobs::poolForRequest(const PendingRequestPtr &Request) {
+  PoolMember *Chosen = findPool(Request->Pool);
+  Time Now = Deps_.Clock.now();
+  bool Stays = Request->MaybeTaken || Request->Registered ||
+               Now - Request->PoolChosen < ChoiceValidFor;
+  if (Stays && !Request->Pool.value().empty())
     return Chosen;
   if (Chosen && !isReachable(*Chosen))
     Chosen->distrustLoad();
-  Chosen = choosePool(What->Wanted, What->RefusedBy);
-  What->PoolChosen = Now;
+  Chosen = choosePool(Request->Wanted, Request->RefusedBy);
+  Request->PoolChosen = Now;
   if (Chosen)
-    What->Pool = Chosen->name();
+    Request->Pool = Chosen->name();
   return Chosen;
 }
 
-bool EntryJobs::isReachable(const PoolMember &In) const {
-  const Endpoint &Owner = In.view().Owner.At;
-  return In.isOwned() && (Owner == Self_ || hasFreshEcho(Owner));
+bool EntryJobs::isReachable(const PoolMember &Pool) const {
+  const Endpoint &Owner = Pool.view().Owner.At;
+  return Pool.isOwned() && (Owner == Self_ || hasFreshEcho(Owner));
 }
 
-void EntryJobs::dispatch(const AskPtr &What) {
-  ++What->Attempt;
-  What->SentTo.reset();
-  PoolMember *In = poolFor(What);
-  if (!In && !What->RefusedBy.empty())
-    return finish(What, What->Refusal);
-  if (!In && areAllEvacuated()) {
+void EntryJobs::dispatch(const PendingRequestPtr &Request) {
+  ++Request->Attempt;
+  Request->SentTo.reset();
+  PoolMember *Pool = poolForRequest(Request);
+  if (!Pool && !Request->RefusedBy.empty())
+    return finish(Request, Request->Refusal);
+  if (!Pool && areAllEvacuated()) {
     JobAnswer ShutOut = notTaken("all data centres are evacuated");
     ShutOut.RetryAfter = RetryAfterEvacuation;
-    return finish(What, ShutOut);
+    return finish(Request, ShutOut);
   }
-  if (!In || In->view().Owner.Token == FencingToken(0))
-    return park(What);
-  const Endpoint &Owner = In->view().Owner.At;
-  // An owner stops the jobs of entries that do not show that they hear it.
-  if (Owner != Self_ && !isReachable(*In)) {
-    ping(Owner, {In->name()});
-    return park(What);
+  if (!Pool || Pool->view().Owner.Token == FencingToken(0))
+    return park(Request);
+  const Endpoint &Owner = Pool->view().Owner.At;
+  // An owner stops the jobs of entries that don't confirm that they hear it.
+  if (Owner != Self_ && !isReachable(*Pool)) {
+    ping(Owner, {Pool->name()});
+    return park(Request);
   }
-  if (!In->isOwned() || (Owner == Self_ && !In->scheduler()))
-    return park(What);
-  What->SentTo = In->view().Owner;
-  What->TakenBy = Owner;
-  In->noteSent(What->Wanted);
+  if (!Pool->isOwned() || (Owner == Self_ && !Pool->scheduler()))
+    return park(Request);
+  Request->SentTo = Pool->view().Owner;
+  Request->LastOwner = Owner;
+  Pool->noteSent(Request->Wanted);
   logEvent(LogLevel::Info, Module, "job_sent",
-           {{"job", What->Wanted.Id},
-            {"serial", What->Own.Serial},
-            {"sending", What->Attempt},
-            {"pool", In->name()},
+           {{"job", Request->Wanted.Id},
+            {"serial", Request->Waiter.Serial},
+            {"sending", Request->Attempt},
+            {"pool", Pool->name()},
             {"owner", Owner.text()},
-            {"token", In->view().Owner.Token.value()},
-            {"home", homeOfJob(What->Wanted.Id)},
-            {"registered", What->Registered},
-            {"maybe_taken", What->MaybeTaken},
-            {"age_us", (Needs_.Clock.now() - What->Since).count()}});
+            {"token", Pool->view().Owner.Token.value()},
+            {"home", homeOfJob(Request->Wanted.Id)},
+            {"registered", Request->Registered},
+            {"maybe_taken", Request->MaybeTaken},
+            {"age_us", (Deps_.Clock.now() - Request->ReceivedAt).count()}});
   if (Owner == Self_)
-    return runHere(What, *In);
-  sendToOwner(What);
+    return runLocally(Request, *Pool);
+  sendToOwner(Request);
 }
 
-void EntryJobs::addSuspects(Ask &What) const {
-  auto Found = Suspects_.find(What.Wanted.Id);
+void EntryJobs::addSuspects(PendingRequest &Request) const {
+  auto Found = Suspects_.find(Request.Wanted.Id);
   if (Found != Suspects_.end())
-    What.Wanted.Suspects = Found->second.Tasks;
+    Request.Wanted.Suspects = Found->second.Tasks;
 }
 
-void EntryJobs::runHere(const AskPtr &What, PoolMember &In) {
-  Time Now = Needs_.Clock.now();
-  addSuspects(*What);
+void EntryJobs::runLocally(const PendingRequestPtr &Request, PoolMember &Pool) {
+  Time Now = Deps_.Clock.now();
+  addSuspects(*Request);
   auto New = std::make_shared<Incoming>();
-  New->Wanted = What->Wanted;
-  New->How = {What->Own, Now - What->Since, What->GiveUp - Now,
-              What->MaybeTaken};
-  New->Home = homeOfJob(What->Wanted.Id);
-  New->Ended = [this, What,
-                Attempt = What->Attempt](const Outcome<TransientEnd> &Ended) {
-    if (Attempt != What->Attempt)
+  New->Wanted = Request->Wanted;
+  New->ArrivalInfo = {Request->Waiter, Now - Request->ReceivedAt,
+                      Request->Deadline - Now, Request->MaybeTaken};
+  New->Home = homeOfJob(Request->Wanted.Id);
+  New->OnEnded = [this, Request, Attempt = Request->Attempt](
+                     const Outcome<TransientEnd> &Ended) {
+    if (Attempt != Request->Attempt)
       return;
     if (Ended)
-      return settle(What, answerOfEnd(*Ended));
-    What->MaybeTaken =
-        What->MaybeTaken || Ended.error().Code != ErrorCode::Refused;
-    park(What);
+      return handleOwnerAnswer(Request, answerOfEnd(*Ended));
+    Request->MaybeTaken =
+        Request->MaybeTaken || Ended.error().Code != ErrorCode::Refused;
+    park(Request);
   };
-  New->Elsewhere = [this, What, Attempt = What->Attempt](const PoolName &Pool) {
-    if (Attempt == What->Attempt)
-      registered(What, Pool);
+  New->OnRedirected = [this, Request,
+                       Attempt = Request->Attempt](const PoolName &Target) {
+    if (Attempt == Request->Attempt)
+      redirect(Request, Target);
   };
-  takeIn(New, In);
+  takeIn(New, Pool);
 }
 
-void EntryJobs::registered(const AskPtr &What, const PoolName &Pool) {
-  if (++What->Redirections > MostRedirections)
-    return finish(What, What->RefusedBy.empty()
-                            ? notTaken("it was sent from pool to pool")
-                            : What->Refusal);
-  What->Registered = true;
-  What->Pool = Pool;
-  What->PoolChosen = Needs_.Clock.now();
-  dispatch(What);
+void EntryJobs::redirect(const PendingRequestPtr &Request,
+                         const PoolName &Pool) {
+  if (++Request->Redirections > MaxRedirections)
+    return finish(Request, Request->RefusedBy.empty()
+                               ? notTaken("it was sent from pool to pool")
+                               : Request->Refusal);
+  Request->Registered = true;
+  Request->Pool = Pool;
+  Request->PoolChosen = Deps_.Clock.now();
+  dispatch(Request);
 }
 
-void EntryJobs::settle(const AskPtr &What, const JobAnswer &Answer) {
-  if (!tryElsewhere(What, Answer))
-    finish(What, Answer);
+void EntryJobs::handleOwnerAnswer(const PendingRequestPtr &Request,
+                                  const JobAnswer &Answer) {
+  if (!tryAnotherPool(Request, Answer))
+    finish(Request, Answer);
 }
 
-void EntryJobs::sendToOwner(const AskPtr &What) {
-  Duration Left = What->GiveUp - Needs_.Clock.now();
-  addSuspects(*What);
+void EntryJobs::sendToOwner(const PendingRequestPtr &Request) {
+  Duration Left = Request->Deadline - Deps_.Clock.now();
+  addSuspects(*Request);
   Json::Value Params(Json::objectValue);
-  Params["job"] = wire::write(What->Wanted);
-  writeAsker(*What, Params);
-  PoolName HomeName = homeOfJob(What->Wanted.Id);
+  Params["job"] = wire::write(Request->Wanted);
+  writeRequestOrigin(*Request, Params);
+  PoolName HomeName = homeOfJob(Request->Wanted.Id);
   if (!HomeName.value().empty())
     Params["home"] = HomeName.value();
   if (const PoolMember *Home = findPool(HomeName);
       Home && Home->view().Owner.Token != FencingToken(0))
     Params["registrar"] = Home->view().Owner.At.text();
   Params["left_us"] = Json::Int64(std::max(Left, Duration(1)).count());
-  Params["age_us"] = Json::Int64((Needs_.Clock.now() - What->Since).count());
-  Params["echo_us"] = Json::UInt64(Echoes_[What->SentTo->At].Stamp);
-  if (What->MaybeTaken)
+  Params["age_us"] =
+      Json::Int64((Deps_.Clock.now() - Request->ReceivedAt).count());
+  Params["echo_us"] = Json::UInt64(Echoes_[Request->SentTo->At].Stamp);
+  if (Request->MaybeTaken)
     Params["maybe_taken"] = true;
-  Endpoint To = What->SentTo->At;
-  Needs_.Client.call(To, wire::method::Run, std::move(Params),
-                     std::max(Left, Duration(0)) + AnswerMargin,
-                     [this, What, To, Attempt = What->Attempt](
-                         const Outcome<Json::Value> &Result) {
-                       answered(What, Attempt, To, Result);
-                     });
+  Endpoint To = Request->SentTo->At;
+  Deps_.Client.call(To, wire::method::Run, std::move(Params),
+                    std::max(Left, Duration(0)) + AnswerMargin,
+                    [this, Request, To, Attempt = Request->Attempt](
+                        const Outcome<Json::Value> &Result) {
+                      handleOwnerReply(Request, Attempt, To, Result);
+                    });
 }
 
-void EntryJobs::writeAsker(const Ask &What, Json::Value &Params) const {
-  Params["pool"] = What.Pool.value();
+void EntryJobs::writeRequestOrigin(const PendingRequest &Request,
+                                   Json::Value &Params) const {
+  Params["pool"] = Request.Pool.value();
   Params["origin"] = Self_.text();
   Params["incarnation"] = Json::UInt64(Incarnation_);
-  Params["serial"] = Json::UInt64(What.Own.Serial);
+  Params["serial"] = Json::UInt64(Request.Waiter.Serial);
 }
 
 void EntryJobs::refuse(const JobRequest &Request, const JobAnswer &Answer,
@@ -351,14 +360,14 @@
             {"reason", Answer.Reason},
             {"host", Request.Host},
             {"path", Request.Path},
-            {"configuration", RoutingFrom_}});
+            {"configuration", RoutingVersion_}});
   Done(Answer);
 }
 
 void EntryJobs::prepareStop() {
   Stopping_ = true;
-  for (auto &[Name, In] : Pools_)
-    In->view().Stopping = true;
+  for (auto &[Name, Pool] : Pools_)
+    Pool->view().Stopping = true;
   followOwners();
   for (const auto &[To, About] : pingsDue(true))
     ping(To, About);
--- a/src/jobs/internal/entryjobs.h
+++ b/src/jobs/internal/entryjobs.h
@@ -1,12 +1,12 @@
 //===- entryjobs.h - Jobs on an entry ---------------------------*- C++ -*-===//
 //
-// What an entry does for callers: it finds the queue in the configuration that
-// it knows, hands transient jobs to the entry that owns the pool of workers
-// (itself, perhaps), and durable ones to the leader of the log. It takes part
-// in choosing the owner.
+// Serves callers' job requests on an entry. The entry looks up the queue in its
+// copy of the configuration, sends transient jobs to the entry that owns the
+// pool of workers (possibly itself), and durable jobs to the leader of the
+// replicated log. It also takes part in choosing the pools' owners.
 //
-// Transient jobs need no control VM: while those are away, entries go on with
-// the configuration and the workers that they know.
+// Transient jobs don't depend on control VMs: while none can be reached,
+// entries continue with the last known configuration and workers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,8 +23,8 @@
 
 namespace geraniumbay::jobs {
 
-/// What the service works with; all of it outlives the service.
-struct EntryNeeds {
+/// Collaborators of the service; all of them outlive it.
+struct EntryDependencies {
   IWorkerCalls &Workers;
   const IClock &Clock;
   ITimers &Timers;
@@ -35,10 +35,11 @@
 
 class EntryJobs : public IJobGateway {
 public:
-  EntryJobs(EntryNeeds Needs, EntryPlace Self, std::vector<Endpoint> ControlVms,
-            RoutingReader Reader, LeaseSettings Lease);
+  EntryJobs(EntryDependencies Deps, EntryPlace Self,
+            std::vector<Endpoint> ControlVms, RoutingReader Reader,
+            LeaseSettings Lease);
 
-  /// Offers the methods and starts; called once.
+  /// Registers the RPC methods and starts the timers; called once.
   void start();
 
   std::function<void()> submit(const JobRequest &Request, const JobSpec &Spec,
@@ -51,13 +52,13 @@
     Control_.addControlVms(Found);
   }
   void prepareStop() override;
-  /// Whether this entry schedules.
+  /// Whether this entry owns at least one pool and thus runs a scheduler.
   bool ownsAPool() const;
 
 private:
   using Reply = IRpcServer::Reply;
-  struct Ask;
-  using AskPtr = std::shared_ptr<Ask>;
+  struct PendingRequest;
+  using PendingRequestPtr = std::shared_ptr<PendingRequest>;
   struct Incoming;
   using IncomingPtr = std::shared_ptr<Incoming>;
   struct ByArrival {
@@ -65,49 +66,56 @@
   };
   using Pools = std::map<PoolName, std::unique_ptr<PoolMember>>;
 
-  // What control VMs say (entrysync.cpp).
-  Json::Value askControl() const;
-  void takeControl(const Json::Value &Result, const Endpoint &From);
-  /// The control VM that is asked for what is long: entries spread themselves
-  /// over all of them.
-  Endpoint sourceOfLists() const;
-  /// Asks \p From for the document; \p OrElse is asked if that fails.
+  // Synchronisation with control VMs (entrysync.cpp, entryworkers.cpp).
+  Json::Value makeSyncRequest() const;
+  void applySyncReply(const Json::Value &Result, const Endpoint &From);
+  /// The control VM to fetch large lists from: entries spread their fetches
+  /// over all control VMs.
+  Endpoint controlVmForLists() const;
+  /// Fetches the configuration document from \p From, or from \p Fallback if
+  /// that brings no newer one.
   void fetchDocument(const Endpoint &From,
-                     const std::optional<Endpoint> &OrElse);
-  /// The same for the list of workers.
+                     const std::optional<Endpoint> &Fallback);
+  /// Fetches the list of workers from \p From, or from \p Fallback if the reply
+  /// has no list. A call that fails is not retried here.
   void fetchWorkers(const Endpoint &From,
-                    const std::optional<Endpoint> &OrElse);
-  void takeDocument(const Json::Value &Result);
-  void takePlan(const Json::Value &Result);
-  void takeEvacuations(const Json::Value &Result);
-  /// How many tasks run under this entry's orders in evacuated data centres.
+                    const std::optional<Endpoint> &Fallback);
+  void applyDocument(const Json::Value &Result);
+  void applyPoolPlan(const Json::Value &Result);
+  void applyEvacuations(const Json::Value &Result);
+  /// The number of tasks that this entry's schedulers are running in each
+  /// evacuated data centre.
   Json::Value writeEvacuatedRunning() const;
-  void takeWorkers(const Json::Value &Result);
-  void takeWorkerList(const Json::Value &Result);
-  /// Returns the pool that it was in, or null.
+  void applyWorkers(const Json::Value &Result);
+  void applyWorkerList(const Json::Value &Result);
+  /// Removes the worker; returns the pool that it was in, or null.
   PoolMember *forgetWorker(const WorkerId &Worker);
   /// The data centres whose pools this entry may own.
-  std::set<DataCentreId> dataCentresWanted() const;
-  /// Asks for the workers of those from now on.
-  void wantDataCentres();
-  /// What this entry has of the list of workers.
-  void writeWorkersKnown(Json::Value &Params) const;
-  /// Takes what \p Result says of other entries; returns whether it is
-  /// anything.
-  bool takeNamedEntries(const Json::Value &Result);
-  void takeEntryList(const Json::Value &Result);
-  void takeOwners(const Json::Value &Result);
-  /// Forgets the lists of a leader before.
-  void followLists(const Json::Value &Result);
-  /// Whether the leader's list with the number of changes \p Change is the one
-  /// that is known here.
+  std::set<DataCentreId> dataCentresToCover() const;
+  /// Requests the workers of those data centres from now on. If the known list
+  /// doesn't cover them, the whole list is requested again.
+  void updateCoveredDataCentres();
+  /// Writes which version of the list of workers this entry has, so that only
+  /// changes are sent.
+  void writeKnownWorkers(Json::Value &Params) const;
+  /// Merges the entries in \p Result into the last list; returns whether
+  /// \p Result contained or confirmed a list.
+  bool mergeEntryList(const Json::Value &Result);
+  void applyEntryList(const Json::Value &Result);
+  void applyOwners(const Json::Value &Result);
+  /// If \p Result comes from the leader of another term, resets the change
+  /// counters and what was reported under the previous leader.
+  void followListsTerm(const Json::Value &Result);
+  /// Whether this entry's copy of the list whose change counter is the field
+  /// \p Change is up to date with the leader's.
   bool isCurrent(const Json::Value &Result, const char *Change,
                  std::uint64_t Known) const;
-  PoolMember &memberOf(const PoolName &Name, const DataCentreId &DataCentre);
-  /// Ranks the candidates of each pool anew if the entries, the pools or the
-  /// owners have changed.
+  PoolMember &getOrCreatePool(const PoolName &Name,
+                              const DataCentreId &DataCentre);
+  /// Recomputes the ranking of each pool's candidates if the entries, the pools
+  /// or the owners have changed.
   void rankCandidates();
-  /// The owners of the pools that this entry may own.
+  /// The current owners of the pools for which this entry is a candidate.
   std::map<PoolName, Endpoint> knownOwners() const;
 
   // Pings and claims (poolowner.cpp).
@@ -129,7 +137,7 @@
   /// Tells those that may own the pool next at once.
   void tellSuspects(const PoolMember &Of);
   void takeSuspects(const Json::Value &From);
-  void addSuspects(Ask &What) const;
+  void addSuspects(PendingRequest &Request) const;
   /// Gives up what waits here if this process has stood still.
   void notePause(Time Now);
   void followOwners();
@@ -152,8 +160,8 @@
   void noteIncarnation(const Endpoint &From, const Json::Value &Params);
   /// Whether \p Owner can tell from the next message that it is heard here.
   bool hasFreshEcho(const Endpoint &Owner) const;
-  /// Whether a job may be sent to the pool's owner at once.
-  bool isReachable(const PoolMember &In) const;
+  /// Whether a job may be sent to the pool's owner without pinging it first.
+  bool isReachable(const PoolMember &Pool) const;
   PoolMember *findPool(const PoolName &Name) const;
   PoolMember *poolOfMessage(const Json::Value &Params) const;
 
@@ -161,22 +169,23 @@
   void answerDrop(const Json::Value &Params, const Reply &Answer);
   void answerRun(const Json::Value &Params, const Reply &Answer);
 
-  // Which pool a job goes to (poolchoice.cpp).
+  // Choice of a pool for a job (poolchoice.cpp).
   PoolMember *choosePool(const Job &Wanted,
-                         const std::set<PoolName> &Without) const;
-  std::vector<PoolMember *> poolsToWeigh(const Job &Wanted,
-                                         const std::set<PoolName> &Without,
-                                         PoolMember *Home) const;
-  /// What a task loses away from the rack that holds its data: it takes about
-  /// twice as long there.
-  Duration lossAwayFromData(const Job &Wanted, const PoolMember &In) const;
+                         const std::set<PoolName> &Excluded) const;
+  std::vector<PoolMember *> poolsToCompare(const Job &Wanted,
+                                           const std::set<PoolName> &Excluded,
+                                           PoolMember *Home) const;
+  /// The extra run time of a task in a pool that doesn't contain the rack with
+  /// its data: it takes about twice as long there.
+  Duration costAwayFromData(const Job &Wanted, const PoolMember &Pool) const;
   /// Whether the pool's workers are all in an evacuated data centre.
-  bool isEvacuated(const PoolMember &In) const;
+  bool isEvacuated(const PoolMember &Pool) const;
   bool areAllEvacuated() const;
-  void noteRefusedBy(Ask &What, const JobAnswer &Refusal) const;
-  /// Takes a job that a pool's owner has refused to another pool; returns
+  void recordRefusal(PendingRequest &Request, const JobAnswer &Refusal) const;
+  /// Sends a job that a pool's owner has refused to another pool; returns
   /// whether there is one.
-  bool tryElsewhere(const AskPtr &What, const JobAnswer &Refusal);
+  bool tryAnotherPool(const PendingRequestPtr &Request,
+                      const JobAnswer &Refusal);
 
   // Jobs that are brought to pools of this entry (registration.cpp).
   /// The pools of \p DataCentre among which its entries' jobs have their homes;
@@ -237,37 +246,40 @@
   void answerRegister(const Json::Value &Params, const Reply &Answer);
 
   // Transient jobs of this entry's callers (entryjobs.cpp).
-  void dispatch(const AskPtr &What);
-  PoolMember *poolFor(const AskPtr &What);
-  void runHere(const AskPtr &What, PoolMember &In);
-  void sendToOwner(const AskPtr &What);
-  /// Writes whose job it is and which pool it is meant for.
-  void writeAsker(const Ask &What, Json::Value &Params) const;
-  /// The job's registrar has named \p Pool: it goes there.
-  void registered(const AskPtr &What, const PoolName &Pool);
-  void answered(const AskPtr &What, std::uint64_t Attempt, const Endpoint &From,
-                const Outcome<Json::Value> &Result);
-  /// Takes the answer of the owner that the job was sent to.
-  void settle(const AskPtr &What, const JobAnswer &Answer);
-  void finish(const AskPtr &Asked, const JobAnswer &Answer);
-  /// Answers a request that went nowhere.
+  void dispatch(const PendingRequestPtr &Request);
+  PoolMember *poolForRequest(const PendingRequestPtr &Request);
+  void runLocally(const PendingRequestPtr &Request, PoolMember &Pool);
+  void sendToOwner(const PendingRequestPtr &Request);
+  /// Writes the fields that identify the waiting caller and the target pool.
+  void writeRequestOrigin(const PendingRequest &Request,
+                          Json::Value &Params) const;
+  /// Sends the job to \p Pool, which its registrar has named as its holder.
+  void redirect(const PendingRequestPtr &Request, const PoolName &Pool);
+  void handleOwnerReply(const PendingRequestPtr &Request, std::uint64_t Attempt,
+                        const Endpoint &From,
+                        const Outcome<Json::Value> &Result);
+  /// Handles the answer of the owner that the job was sent to.
+  void handleOwnerAnswer(const PendingRequestPtr &Request,
+                         const JobAnswer &Answer);
+  void finish(const PendingRequestPtr &Request, const JobAnswer &Answer);
+  /// Answers a request that was not dispatched.
   void refuse(const JobRequest &Request, const JobAnswer &Answer,
               const Callback &Done) const;
-  void logAnswer(const Ask &Of, const JobAnswer &Told) const;
-  void giveUpAfterPause(const AskPtr &What);
-  /// Whether a request may have waited in a socket while this process stood
-  /// still.
+  void logAnswer(const PendingRequest &Request, const JobAnswer &Answer) const;
+  void giveUpAfterPause(const PendingRequestPtr &Request);
+  /// Whether a request may have waited in a socket while this process was
+  /// paused.
   bool hasJustPaused() const;
-  void abandon(const AskPtr &What);
-  /// Whether \p Origin was heard lately: what has lain here for longer may be
-  /// of a caller that has come back elsewhere.
-  bool isFresh(const Endpoint &Origin);
-  void tellDropped(const Endpoint &To, const Json::Value &Params, int Tries);
-  void park(const AskPtr &What);
+  void abandon(const PendingRequestPtr &Request);
+  /// Whether \p Origin was heard recently. Otherwise the caller of a job from
+  /// there may already have sent it again through another entry.
+  bool wasHeardRecently(const Endpoint &Origin);
+  void notifyDropped(const Endpoint &To, const Json::Value &Params, int Tries);
+  void park(const PendingRequestPtr &Request);
   void redispatchParked();
-  void redispatch(const AskPtr &What);
+  void redispatch(const PendingRequestPtr &Request);
 
-  const EntryNeeds Needs_;
+  const EntryDependencies Deps_;
   const Endpoint Self_;
   const DataCentreId DataCentre_;
   const RoutingReader Reader_;
@@ -275,52 +287,55 @@
   JobGateway Control_;
 
   Routing Routing_;
-  ConfigVersion RoutingFrom_;
+  ConfigVersion RoutingVersion_;
   PoolPlan Plan_ = PoolPlan::One;
   RackGroups Groups_;
   /// The pools of the recorded division, by data centre.
   std::map<DataCentreId, std::vector<PoolName>> Homes_;
-  /// Which list of workers this entry has: of which leader's term, and how many
-  /// changes it covers.
-  std::uint64_t WorkersOf_ = 0;
-  std::uint64_t WorkersChange_ = 0;
-  /// The data centres whose workers it covers; none stands for all.
-  std::set<DataCentreId> WorkersIn_;
-  /// Questions for long lists that got no answer; another VM is asked next.
-  std::size_t FetchesLost_ = 0;
-  /// The leader of ListsOf_ knows all workers, and this entry its list.
+  /// The version of this entry's list of workers: the term of the leader that
+  /// issued it, and the number of changes included.
+  std::uint64_t WorkerListTerm_ = 0;
+  std::uint64_t WorkerListChange_ = 0;
+  /// The data centres that the list of workers covers; empty means all.
+  std::set<DataCentreId> CoveredDataCentres_;
+  /// Failed fetches of the list of workers; each one moves this entry on to the
+  /// next control VM.
+  std::size_t FailedFetches_ = 0;
+  /// The leader of the term ListsTerm_ knows all workers, and this entry has
+  /// its list.
   bool KnowsAllWorkers_ = false;
-  bool FetchesDocument_ = false;
-  bool FetchesWorkers_ = false;
-  /// Data centres that are evacuated, and the last order that this covers.
+  bool FetchingDocument_ = false;
+  bool FetchingWorkers_ = false;
+  /// Evacuated data centres, and the number of the last order applied.
   std::set<DataCentreId> Evacuated_;
-  EvacuationNumber EvacuationsKnown_;
-  /// In which pool each worker is.
+  EvacuationNumber LastEvacuation_;
+  /// The pool of each worker.
   std::map<WorkerId, PoolName> WorkerPools_;
-  /// Entries, and when the leader last named each.
+  /// Known entries, and when a leader's list last contained each.
   std::map<EntryPlace, Time> Entries_;
-  /// Of which leader's term the lists of entries and owners are, and how many
-  /// changes each covers.
-  std::uint64_t ListsOf_ = 0;
+  /// The term of the leader that issued the lists of entries and owners, and
+  /// the number of changes that each includes.
+  std::uint64_t ListsTerm_ = 0;
   std::uint64_t EntriesChange_ = 0;
   std::uint64_t OwnersChange_ = 0;
-  /// Loads are told in turn: the changes that are covered, those that were
-  /// there when the turn under way began, and the last pool told in it.
+  /// The leader sends the pools' loads in rounds, some pools per reply: the
+  /// change count that the last full round covers, the change count at the
+  /// start of the current round, and the last pool sent in it.
   std::uint64_t LoadsChange_ = 0;
-  std::uint64_t LoadsBegan_ = 0;
-  std::string LoadsAfter_;
-  /// The leader's last list of entries, and when it was last taken.
-  std::vector<EntryPlace> ToldEntries_;
-  Time EntriesNamed_;
-  /// The leader of the log schedules itself, transient jobs too.
+  std::uint64_t LoadsRoundStart_ = 0;
+  std::string LastLoadPool_;
+  /// The leader's last list of entries, and when it was last applied.
+  std::vector<EntryPlace> ReportedEntries_;
+  Time EntriesReportedAt_;
+  /// The leader of the log runs the scheduler, for transient jobs too.
   bool ControlSchedules_ = false;
 
   /// Shared by all pools.
   PeerTable Peers_;
   Pools Pools_;
-  /// Entries or pools have come or gone since candidates were ranked.
-  bool RanksDue_ = true;
-  /// The owners that the ranks were made with.
+  /// Entries or pools were added or removed since candidates were ranked.
+  bool RanksOutdated_ = true;
+  /// The owners that the current ranking is based on.
   std::map<PoolName, Endpoint> RankedOwners_;
   /// Counts the rounds of pings.
   std::uint64_t PingRounds_ = 0;
@@ -394,8 +409,8 @@
     Json::Value Written;
   };
   std::array<WrittenSuspects, 2> SuspectsTold_;
-  /// Jobs of this entry's callers that have not been answered.
-  std::set<AskPtr> Asks_;
+  /// Transient jobs of this entry's callers that have not been answered.
+  std::set<PendingRequestPtr> PendingRequests_;
   std::uint64_t LastSerial_ = 0;
 };
 
--- a/src/jobs/internal/entryworkers.cpp
+++ b/src/jobs/internal/entryworkers.cpp
@@ -1,8 +1,8 @@
-//===- entryworkers.cpp - The workers that an entry knows -----------------===//
+//===- entryworkers.cpp - An entry's list of workers ----------------------===//
 //
-// Lists of workers from control VMs, and the pools that they are in. An entry
-// may own the pools of its own data centre only, so it asks for the workers
-// there, and for those of data centres that have no entries.
+// Fetches lists of workers from control VMs and assigns the workers to pools.
+// An entry can only own pools of its own data centre and of data centres that
+// have no entries, so it requests only the workers there.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,40 +18,40 @@
 
 namespace {
 
-/// A thousand workers take tens of milliseconds at a control VM that forty
-/// entries ask at once.
+/// A list of a thousand workers takes a control VM tens of milliseconds to
+/// send, and forty entries may ask at once.
 constexpr Duration FetchTimeout = std::chrono::milliseconds(1000);
 
 } // namespace
 
 void EntryJobs::fetchWorkers(const Endpoint &From,
-                             const std::optional<Endpoint> &OrElse) {
-  if (FetchesWorkers_)
+                             const std::optional<Endpoint> &Fallback) {
+  if (FetchingWorkers_)
     return;
-  FetchesWorkers_ = true;
+  FetchingWorkers_ = true;
   Json::Value Params(Json::objectValue);
-  writeWorkersKnown(Params);
-  Params["evacuations_change"] = Json::UInt64(EvacuationsKnown_.value());
-  Params["lists_of"] = Json::UInt64(ListsOf_);
+  writeKnownWorkers(Params);
+  Params["evacuations_change"] = Json::UInt64(LastEvacuation_.value());
+  Params["lists_of"] = Json::UInt64(ListsTerm_);
   Control_.fetch(From, wire::method::Workers, std::move(Params), FetchTimeout,
-                 [this, OrElse](const Outcome<Json::Value> &Result) {
-                   FetchesWorkers_ = false;
+                 [this, Fallback](const Outcome<Json::Value> &Result) {
+                   FetchingWorkers_ = false;
                    if (Result) {
-                     takeEvacuations(*Result);
-                     takeWorkers(*Result);
+                     applyEvacuations(*Result);
+                     applyWorkers(*Result);
                      rankCandidates();
                    }
-                   // One that is too slow has others that wait too; the
-                   // leader would be asked by all of them. The next answer of
-                   // the leader names the list again.
+                   // If the control VM is too slow, other entries wait for it
+                   // too, and falling back to the leader would overload it.
+                   // The leader's next answer asks for the list again.
                    if (!Result)
-                     ++FetchesLost_;
-                   else if (OrElse && !(*Result)["workers"].isArray())
-                     fetchWorkers(*OrElse, std::nullopt);
+                     ++FailedFetches_;
+                   else if (Fallback && !(*Result)["workers"].isArray())
+                     fetchWorkers(*Fallback, std::nullopt);
                  });
 }
 
-std::set<DataCentreId> EntryJobs::dataCentresWanted() const {
+std::set<DataCentreId> EntryJobs::dataCentresToCover() const {
   std::set<DataCentreId> WithEntries;
   for (const auto &[Place, Named] : Entries_)
     WithEntries.insert(Place.DataCentre);
@@ -62,67 +62,69 @@
   return Result;
 }
 
-void EntryJobs::wantDataCentres() {
-  // Without a list of the entries this one is a candidate everywhere.
+void EntryJobs::updateCoveredDataCentres() {
+  // Without a list of entries, this one is a candidate in all data centres.
   if (Plan_ != PoolPlan::ByRack || Groups_.empty() || Entries_.empty())
     return;
-  std::set<DataCentreId> Wanted = dataCentresWanted();
+  std::set<DataCentreId> Wanted = dataCentresToCover();
   bool Covered =
-      WorkersIn_.empty() || std::includes(WorkersIn_.begin(), WorkersIn_.end(),
-                                          Wanted.begin(), Wanted.end());
-  WorkersIn_ = std::move(Wanted);
+      CoveredDataCentres_.empty() ||
+      std::includes(CoveredDataCentres_.begin(), CoveredDataCentres_.end(),
+                    Wanted.begin(), Wanted.end());
+  CoveredDataCentres_ = std::move(Wanted);
   if (Covered)
     return;
-  WorkersOf_ = 0;
-  WorkersChange_ = 0;
+  WorkerListTerm_ = 0;
+  WorkerListChange_ = 0;
   KnowsAllWorkers_ = false;
 }
 
-void EntryJobs::writeWorkersKnown(Json::Value &Params) const {
-  Params["workers_of"] = Json::UInt64(WorkersOf_);
-  Params["workers_change"] = Json::UInt64(WorkersChange_);
-  for (const DataCentreId &Each : WorkersIn_)
+void EntryJobs::writeKnownWorkers(Json::Value &Params) const {
+  Params["workers_of"] = Json::UInt64(WorkerListTerm_);
+  Params["workers_change"] = Json::UInt64(WorkerListChange_);
+  for (const DataCentreId &Each : CoveredDataCentres_)
     Params["workers_in"].append(Each.value());
   // A new leader may have the same list.
-  if (WorkersOf_ == ListsOf_ || WorkersOf_ == 0)
+  if (WorkerListTerm_ == ListsTerm_ || WorkerListTerm_ == 0)
     return;
   std::uint64_t Digest = 0;
-  for (const auto &[Name, In] : Pools_)
-    for (const auto &[Id, Known] : std::as_const(*In).directory().Workers)
-      if (WorkersIn_.empty() || WorkersIn_.count(Known.Info.DataCentre) != 0)
+  for (const auto &[Name, Pool] : Pools_)
+    for (const auto &[Id, Known] : std::as_const(*Pool).directory().Workers)
+      if (CoveredDataCentres_.empty() ||
+          CoveredDataCentres_.count(Known.Info.DataCentre) != 0)
         Digest ^= digestOf(Known.Info);
   Params["workers_digest"] = Json::UInt64(Digest);
 }
 
-PoolMember &EntryJobs::memberOf(const PoolName &Name,
-                                const DataCentreId &DataCentre) {
+PoolMember &EntryJobs::getOrCreatePool(const PoolName &Name,
+                                       const DataCentreId &DataCentre) {
   std::unique_ptr<PoolMember> &Place = Pools_[Name];
   if (Place)
     return *Place;
-  PoolMemberNeeds Needs{
-      Needs_.Workers, Needs_.Clock,
-      Needs_.Timers,  Needs_.Measured,
-      Lease_,         Peers_,
-      Evacuated_,     KnowsAllWorkers_,
-      Suspects_,      [this](const PoolMember &Of) { tellSuspects(Of); }};
-  Place = std::make_unique<PoolMember>(Needs, Name, DataCentre, Self_);
+  PoolMemberNeeds Deps{
+      Deps_.Workers, Deps_.Clock,
+      Deps_.Timers,  Deps_.Measured,
+      Lease_,        Peers_,
+      Evacuated_,    KnowsAllWorkers_,
+      Suspects_,     [this](const PoolMember &Pool) { tellSuspects(Pool); }};
+  Place = std::make_unique<PoolMember>(Deps, Name, DataCentre, Self_);
   Place->view().Stopping = Stopping_;
-  RanksDue_ = true;
+  RanksOutdated_ = true;
   return *Place;
 }
 
-void EntryJobs::takeWorkers(const Json::Value &Result) {
-  takeWorkerList(Result);
+void EntryJobs::applyWorkers(const Json::Value &Result) {
+  applyWorkerList(Result);
   if (wire::isSet(Result, "all_workers"))
     KnowsAllWorkers_ = true;
 }
 
-void EntryJobs::takeWorkerList(const Json::Value &Result) {
+void EntryJobs::applyWorkerList(const Json::Value &Result) {
   if (!Result["workers"].isArray())
     return;
-  WorkersOf_ = wire::numberOf(Result, "workers_of");
-  WorkersChange_ = wire::numberOf(Result, "workers_change");
-  Time Now = Needs_.Clock.now();
+  WorkerListTerm_ = wire::numberOf(Result, "workers_of");
+  WorkerListChange_ = wire::numberOf(Result, "workers_change");
+  Time Now = Deps_.Clock.now();
   std::set<PoolMember *> Changed;
   std::set<WorkerId> Listed;
   for (const Json::Value &Each : Result["workers"]) {
@@ -130,11 +132,11 @@
     if (!Info)
       continue;
     PoolName Name = poolOf(Plan_, Groups_, *Info);
-    PoolMember &In = memberOf(Name, Info->DataCentre);
-    announce(In.directory(), *Info, Now);
+    PoolMember &Pool = getOrCreatePool(Name, Info->DataCentre);
+    announce(Pool.directory(), *Info, Now);
     WorkerPools_[Info->Worker] = Name;
     Listed.insert(Info->Worker);
-    Changed.insert(&In);
+    Changed.insert(&Pool);
   }
   std::set<WorkerId> Removed;
   for (const Json::Value &Each : Result["removed"])
@@ -145,21 +147,21 @@
       if (Listed.count(Id) == 0)
         Removed.insert(Id);
   for (const WorkerId &Id : Removed)
-    if (PoolMember *In = forgetWorker(Id))
-      Changed.insert(In);
-  for (PoolMember *In : Changed)
-    In->workersChanged();
+    if (PoolMember *Pool = forgetWorker(Id))
+      Changed.insert(Pool);
+  for (PoolMember *Pool : Changed)
+    Pool->workersChanged();
 }
 
 PoolMember *EntryJobs::forgetWorker(const WorkerId &Worker) {
   auto Found = WorkerPools_.find(Worker);
   if (Found == WorkerPools_.end())
     return nullptr;
-  PoolMember *In = findPool(Found->second);
-  if (In)
-    removeWorker(In->directory(), Worker);
+  PoolMember *Pool = findPool(Found->second);
+  if (Pool)
+    removeWorker(Pool->directory(), Worker);
   WorkerPools_.erase(Found);
-  return In;
+  return Pool;
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/jobgateway.cpp
+++ b/src/jobs/internal/jobgateway.cpp
@@ -1,6 +1,6 @@
-//===- jobgateway.cpp - Asking the leader about jobs ----------------------===//
+//===- jobgateway.cpp - Client of the leading control VM ------------------===//
 //
-// Sending, following a redirection, and looking for the leader.
+// Sends requests, follows redirections to the leader, and searches for it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,43 +18,42 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// How long a request may look for the leader: the time in which one is
-/// elected. After it the caller is told to come back instead.
+/// How long a request searches for the leader: the time of an election. After
+/// that the caller is told to retry.
 constexpr Duration SearchTime = std::chrono::milliseconds(1200);
 constexpr Duration SearchPause = std::chrono::milliseconds(20);
-/// What callers are told to wait while there is no leader: an election takes
+/// The retry delay given to callers while there is no leader: an election takes
 /// one to two seconds.
 constexpr Duration RetryAfterNoLeader = std::chrono::seconds(1);
-/// VMs that are asked at a time: enough to find the leader among such as do not
-/// answer.
+/// Concurrent probes: enough to find the leader while some VMs don't answer.
 constexpr std::ptrdiff_t MaxProbes = 4;
-/// A leader that has not confirmed itself for this long may be none any more.
-constexpr Duration ReadyFor = std::chrono::milliseconds(2500);
+/// A leader that has not confirmed itself for this long may have been replaced.
+constexpr Duration LeaderReadyFor = std::chrono::milliseconds(2500);
 
 } // namespace
 
-/// One request on its way.
-struct JobGateway::Ask {
+/// A request that has not been answered.
+struct JobGateway::PendingRequest {
   const char *Method;
   Json::Value Params;
   Callback Done;
   Time SearchUntil;
-  Time GiveUp;
-  /// A control VM may have acted on it.
+  Time Deadline;
+  /// A control VM may have executed it.
   bool MaybeTaken = false;
 };
 
 JobGateway::JobGateway(std::vector<Endpoint> ControlVms, IRpcClient &Client,
                        const IClock &Clock, ITimers &Timers, Sync Exchange)
     : ControlVms_(std::move(ControlVms)), Client_(Client), Clock_(Clock),
-      Timers_(Timers), Exchange_(std::move(Exchange)) {
+      Timers_(Timers), Sync_(std::move(Exchange)) {
   assert(!ControlVms_.empty() && "the settings name a control VM");
 }
 
 void JobGateway::start() { probe(); }
 
 bool JobGateway::ready() const {
-  return ReadyAt_ && Clock_.now() - *ReadyAt_ < ReadyFor;
+  return LeaderReadyAt_ && Clock_.now() - *LeaderReadyAt_ < LeaderReadyFor;
 }
 
 void JobGateway::addControlVms(const std::vector<Endpoint> &Found) {
@@ -91,13 +90,13 @@
   Params["host"] = Request.Host;
   Params["path"] = Request.Path;
   Time Now = Clock_.now();
-  auto What = std::make_shared<Ask>();
-  What->Method = Method;
-  What->Params = std::move(Params);
-  What->Done = std::move(Done);
-  What->SearchUntil = Now + SearchTime;
-  What->GiveUp = Now + Request.Timeout;
-  attemptAsk(What);
+  auto New = std::make_shared<PendingRequest>();
+  New->Method = Method;
+  New->Params = std::move(Params);
+  New->Done = std::move(Done);
+  New->SearchUntil = Now + SearchTime;
+  New->Deadline = Now + Request.Timeout;
+  sendAttempt(New);
 }
 
 Endpoint JobGateway::target() {
@@ -107,60 +106,61 @@
   return ControlVms_[NextVm_];
 }
 
-void JobGateway::attemptAsk(const std::shared_ptr<Ask> &What) {
+void JobGateway::sendAttempt(const std::shared_ptr<PendingRequest> &Request) {
   Endpoint To = target();
-  Duration Left = std::max(What->GiveUp - Clock_.now(),
+  Duration Left = std::max(Request->Deadline - Clock_.now(),
                            Duration(std::chrono::milliseconds(1)));
-  What->Params["left_us"] = Json::Int64(Left.count());
-  Client_.call(To, What->Method, What->Params, Left,
-               [this, What, To](const Outcome<Json::Value> &Result) {
-                 answered(What, To, Result);
+  Request->Params["left_us"] = Json::Int64(Left.count());
+  Client_.call(To, Request->Method, Request->Params, Left,
+               [this, Request, To](const Outcome<Json::Value> &Result) {
+                 handleReply(Request, To, Result);
                });
 }
 
-void JobGateway::answered(const std::shared_ptr<Ask> &What,
-                          const Endpoint &From,
-                          const Outcome<Json::Value> &Result) {
+void JobGateway::handleReply(const std::shared_ptr<PendingRequest> &Request,
+                             const Endpoint &From,
+                             const Outcome<Json::Value> &Result) {
   if (!Result) {
-    lost(From, Result.error().Message.c_str());
-    // Submissions and questions are idempotent, so they may go to another
-    // leader even if this one took them.
+    noteLeaderLost(From, Result.error().Message.c_str());
+    // Submissions and queries are idempotent, so they may be sent to another
+    // leader even if this one has executed them.
     if (Result.error().Code != ErrorCode::Refused)
-      What->MaybeTaken = true;
-    What->SearchUntil = Clock_.now() + SearchTime;
-    return tryAgain(What);
+      Request->MaybeTaken = true;
+    Request->SearchUntil = Clock_.now() + SearchTime;
+    return retry(Request);
   }
   if (Result->isMember("leader")) {
     if (Result->isMember("maybe_taken"))
-      What->MaybeTaken = true;
-    follow(*Result);
-    return tryAgain(What);
+      Request->MaybeTaken = true;
+    followLeader(*Result);
+    return retry(Request);
   }
   auto Answer = attempt([&] { return wire::readAnswer(*Result); });
   if (Answer) {
     Leader_ = From;
-    // The leader speaks for itself; one before it may have started tasks.
-    if (Answer->Outcome == JobOutcome::NotTaken && What->MaybeTaken)
+    // The leader only knows its own part; an earlier one may have started
+    // tasks.
+    if (Answer->Outcome == JobOutcome::NotTaken && Request->MaybeTaken)
       Answer->Outcome = JobOutcome::Unknown;
-    return What->Done(*Answer);
+    return Request->Done(*Answer);
   }
-  What->Done(outcome(JobOutcome::Unknown, Answer.error().Message));
+  Request->Done(outcome(JobOutcome::Unknown, Answer.error().Message));
 }
 
-void JobGateway::tryAgain(const std::shared_ptr<Ask> &What) {
-  if (Clock_.now() < std::min(What->SearchUntil, What->GiveUp)) {
+void JobGateway::retry(const std::shared_ptr<PendingRequest> &Request) {
+  if (Clock_.now() < std::min(Request->SearchUntil, Request->Deadline)) {
     Duration Pause = Leader_ ? Duration::zero() : SearchPause;
-    Timers_.after(Pause, [this, What] { attemptAsk(What); });
+    Timers_.after(Pause, [this, Request] { sendAttempt(Request); });
     return;
   }
   JobAnswer Answer =
-      outcome(What->MaybeTaken ? JobOutcome::Unknown : JobOutcome::NotTaken);
+      outcome(Request->MaybeTaken ? JobOutcome::Unknown : JobOutcome::NotTaken);
   Answer.RetryAfter = RetryAfterNoLeader;
   Answer.Reason = "no leader was found";
-  What->Done(Answer);
+  Request->Done(Answer);
 }
 
-void JobGateway::follow(const Json::Value &Result) {
+void JobGateway::followLeader(const Json::Value &Result) {
   Leader_.reset();
   auto Named = attempt([&] { return wire::readEndpoint(Result, "leader"); });
   if (!Named)
@@ -169,7 +169,7 @@
   addControlVms({*Named});
 }
 
-void JobGateway::lost(const Endpoint &At, const char *Reason) {
+void JobGateway::noteLeaderLost(const Endpoint &At, const char *Reason) {
   if (Leader_ != At)
     return;
   Leader_.reset();
@@ -186,26 +186,25 @@
 std::size_t JobGateway::unansweredByLeader() const {
   if (!Leader_)
     return 0;
-  auto Found = Questions_.find(*Leader_);
-  return Found == Questions_.end() ? 0 : Found->second.Unanswered;
+  auto Found = Probes_.find(*Leader_);
+  return Found == Probes_.end() ? 0 : Found->second.Unanswered;
 }
 
 std::optional<Endpoint> JobGateway::nextToProbe() {
-  auto IsUnderWay = [](const auto &Entry) { return Entry.second.Sent; };
-  if (std::count_if(Questions_.begin(), Questions_.end(), IsUnderWay) >=
-      MaxProbes)
+  auto IsUnderWay = [](const auto &Entry) { return Entry.second.SentAt; };
+  if (std::count_if(Probes_.begin(), Probes_.end(), IsUnderWay) >= MaxProbes)
     return std::nullopt;
   if (Leader_) {
-    const std::optional<Time> &Sent = Questions_[*Leader_].Sent;
+    const std::optional<Time> &Sent = Probes_[*Leader_].SentAt;
     if (!Sent)
       return Leader_;
     if (Clock_.now() - *Sent < scheduling::answerPatience(0))
       return std::nullopt;
-    // Another one may lead by now.
+    // The leader's answer is overdue: another VM may lead by now.
   }
   for (std::size_t I = 0; I < ControlVms_.size(); ++I) {
     NextVm_ = (NextVm_ + 1) % ControlVms_.size();
-    if (!Questions_[ControlVms_[NextVm_]].Sent)
+    if (!Probes_[ControlVms_[NextVm_]].SentAt)
       return ControlVms_[NextVm_];
   }
   return std::nullopt;
@@ -213,33 +212,34 @@
 
 void JobGateway::probe() {
   if (std::optional<Endpoint> To = nextToProbe()) {
-    Question &Of = Questions_[*To];
-    Of.Sent = Clock_.now();
-    Client_.call(*To, wire::method::Sync, Exchange_.Ask(),
-                 scheduling::answerPatience(Of.Unanswered),
+    Probe &Current = Probes_[*To];
+    Current.SentAt = Clock_.now();
+    Client_.call(*To, wire::method::Sync, Sync_.MakeRequest(),
+                 scheduling::answerPatience(Current.Unanswered),
                  [this, To = *To](const Outcome<Json::Value> &Result) {
-                   probed(To, Result);
+                   handleProbeReply(To, Result);
                  });
   }
-  bool Urgent = !ready() || Exchange_.IsUrgent();
+  bool Urgent = !ready() || Sync_.IsUrgent();
   Duration Pause =
-      Urgent ? scheduling::urgentPause(AskPause_, unansweredByLeader())
-             : AskPause_;
+      Urgent ? scheduling::urgentPause(SyncPause_, unansweredByLeader())
+             : SyncPause_;
   Timers_.after(Pause, [this] { probe(); });
 }
 
-void JobGateway::probed(const Endpoint &From,
-                        const Outcome<Json::Value> &Result) {
-  Question &Of = Questions_[From];
-  Time Sent = Of.Sent.value_or(Clock_.now());
-  Of.Sent.reset();
-  // A VM that has no turn for new connections is slow too.
+void JobGateway::handleProbeReply(const Endpoint &From,
+                                  const Outcome<Json::Value> &Result) {
+  Probe &Current = Probes_[From];
+  Time Sent = Current.SentAt.value_or(Clock_.now());
+  Current.SentAt.reset();
+  // Any failure after that time counts as a time-out: a VM that is too slow to
+  // accept connections fails in another way.
   bool TimedOut = !Result && Clock_.now() - Sent >=
-                                 scheduling::answerPatience(Of.Unanswered);
-  Of.Unanswered = TimedOut ? Of.Unanswered + 1 : 0;
+                                 scheduling::answerPatience(Current.Unanswered);
+  Current.Unanswered = TimedOut ? Current.Unanswered + 1 : 0;
   if (!Result)
-    return lost(From, Result.error().Message.c_str());
-  Exchange_.Take(*Result, From);
+    return noteLeaderLost(From, Result.error().Message.c_str());
+  Sync_.HandleReply(*Result, From);
   auto Members = attempt([&] { return json::readArray(*Result, "members"); });
   if (Members)
     for (const Json::Value &Each : *Members) {
@@ -248,15 +248,15 @@
         addControlVms({*At});
     }
   if (!wire::isSet(*Result, "ready"))
-    return follow(*Result);
+    return followLeader(*Result);
   if (!ready())
     logEvent(LogLevel::Info, Module, "leader_found", {{"leader", From.text()}});
   Leader_ = From;
-  ReadyAt_ = Sent;
+  LeaderReadyAt_ = Sent;
   Duration Pause(
       static_cast<Duration::rep>(wire::numberOf(*Result, "ask_after_us")));
-  AskPause_ = std::clamp(Pause, scheduling::ShortestAskPause,
-                         scheduling::LongestAskPause);
+  SyncPause_ = std::clamp(Pause, scheduling::ShortestAskPause,
+                          scheduling::LongestAskPause);
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/jobgateway.h
+++ b/src/jobs/internal/jobgateway.h
@@ -1,7 +1,8 @@
-//===- jobgateway.h - Asking the leader about jobs --------------*- C++ -*-===//
+//===- jobgateway.h - Client of the leading control VM ----------*- C++ -*-===//
 //
-// Finds the leader among the control VMs and follows it. A request goes to
-// another control VM only when it certainly had no effect at the one before.
+// Finds the leader among the control VMs, forwards callers' requests to it and
+// synchronises with it. A request whose effect is unknown may be sent to
+// another control VM, since all requests are idempotent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,18 +23,18 @@
 class JobGateway {
 public:
   using Callback = IJobGateway::Callback;
-  /// Makes the question that is put to control VMs from time to time, and takes
-  /// their answers and who gave them.
+  /// Callbacks for the periodic synchronisation with control VMs: the first
+  /// builds the request, the second handles a reply and its sender.
   struct Sync {
-    std::function<Json::Value()> Ask;
-    std::function<void(const Json::Value &, const Endpoint &)> Take;
-    /// Whether callers wait for what control VMs say.
+    std::function<Json::Value()> MakeRequest;
+    std::function<void(const Json::Value &, const Endpoint &)> HandleReply;
+    /// Whether callers wait for the result, so that it should be soon.
     std::function<bool()> IsUrgent;
   };
   using FetchCallback = std::function<void(const Outcome<Json::Value> &)>;
 
-  /// \p ControlVms are those that the settings name; others are learned. All
-  /// references outlive the gateway, which lives as long as the loop.
+  /// \p ControlVms are those in the settings; others are discovered. All
+  /// references outlive the gateway, which lives as long as the event loop.
   JobGateway(std::vector<Endpoint> ControlVms, IRpcClient &Client,
              const IClock &Clock, ITimers &Timers, Sync Exchange);
 
@@ -41,59 +42,60 @@
   void state(const JobRequest &Request, Callback Done);
   void cancel(const JobRequest &Request, Callback Done);
   void pending(const JobRequest &Request, Callback Done);
-  /// Whether a leader that can serve has answered lately.
+  /// Whether a leader that can serve has answered recently.
   bool ready() const;
 
-  /// Starts to look for the leader and to exchange what changes; called once.
+  /// Starts to look for the leader and to synchronise with it; called once.
   void start();
   void addControlVms(const std::vector<Endpoint> &Found);
-  /// Asks one control VM for something large.
+  /// Calls one control VM for a large document or list.
   void fetch(const Endpoint &From, const char *Method, Json::Value Params,
              Duration Timeout, FetchCallback Done);
-  /// The control VM that the \p Number-th asker should ask for what all have.
-  Endpoint spread(std::size_t Number) const {
+  /// The control VM that client number \p Number should fetch shared data from,
+  /// so that clients are spread over all control VMs.
+  Endpoint controlVmFor(std::size_t Number) const {
     return ControlVms_[Number % ControlVms_.size()];
   }
 
 private:
-  struct Ask;
+  struct PendingRequest;
 
   void send(const char *Method, const JobRequest &Request, Json::Value Params,
             Callback Done);
-  void attemptAsk(const std::shared_ptr<Ask> &What);
-  void answered(const std::shared_ptr<Ask> &What, const Endpoint &From,
-                const Outcome<Json::Value> &Result);
-  void tryAgain(const std::shared_ptr<Ask> &What);
+  void sendAttempt(const std::shared_ptr<PendingRequest> &Request);
+  void handleReply(const std::shared_ptr<PendingRequest> &Request,
+                   const Endpoint &From, const Outcome<Json::Value> &Result);
+  void retry(const std::shared_ptr<PendingRequest> &Request);
   void probe();
-  /// The leader, unless its answer is still to come; if that is late, or no
-  /// leader is known, another VM. Each VM has one question at a time.
+  /// The leader, or nothing while its answer is pending. If that is overdue or
+  /// no leader is known, another VM. Each VM has at most one probe at a time.
   std::optional<Endpoint> nextToProbe();
   std::size_t unansweredByLeader() const;
-  void probed(const Endpoint &From, const Outcome<Json::Value> &Result);
-  /// The leader if it is known, else the control VMs in turn.
+  void handleProbeReply(const Endpoint &From,
+                        const Outcome<Json::Value> &Result);
+  /// The leader if it is known, otherwise the control VMs in turn.
   Endpoint target();
-  void follow(const Json::Value &Result);
-  void lost(const Endpoint &At, const char *Reason);
+  void followLeader(const Json::Value &Result);
+  void noteLeaderLost(const Endpoint &At, const char *Reason);
 
   std::vector<Endpoint> ControlVms_;
   IRpcClient &Client_;
   const IClock &Clock_;
   ITimers &Timers_;
-  const Sync Exchange_;
+  const Sync Sync_;
   std::optional<Endpoint> Leader_;
   std::size_t NextVm_ = 0;
-  /// The pause between questions, as the leader has told.
-  Duration AskPause_ = scheduling::ShortestAskPause;
-  struct Question {
-    /// Of the one under way.
-    std::optional<Time> Sent;
-    /// Those in a row that were not answered in time.
+  /// The pause between probes, as requested by the leader.
+  Duration SyncPause_ = scheduling::ShortestAskPause;
+  struct Probe {
+    /// When the pending probe was sent, if there is one.
+    std::optional<Time> SentAt;
+    /// Consecutive probes that were not answered in time.
     std::size_t Unanswered = 0;
   };
-  std::map<Endpoint, Question> Questions_;
-  /// When the question was sent to which a leader last answered that it can
-  /// serve.
-  std::optional<Time> ReadyAt_;
+  std::map<Endpoint, Probe> Probes_;
+  /// When the last probe was sent to which a leader answered that it can serve.
+  std::optional<Time> LeaderReadyAt_;
 };
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/ownercalls.cpp
+++ b/src/jobs/internal/ownercalls.cpp
@@ -55,7 +55,7 @@
   noteIncarnation(*Origin, Params);
   noteEcho(*Origin, Params);
   // As while this VM stood still.
-  if (!isFresh(*Origin)) {
+  if (!wasHeardRecently(*Origin)) {
     logEvent(LogLevel::Warning, Module, "job_stale",
              {{"job", Wanted->Id},
               {"origin", Origin->text()},
@@ -64,7 +64,7 @@
   }
   auto New = std::make_shared<Incoming>();
   New->Wanted = std::move(*Wanted);
-  New->How = {
+  New->ArrivalInfo = {
       waiterOf(Params, *Origin),
       Duration(static_cast<Duration::rep>(wire::numberOf(Params, "age_us"))),
       Duration(static_cast<Duration::rep>(*Left)),
@@ -74,12 +74,12 @@
   if (auto At =
           attempt([&] { return wire::readEndpoint(Params, "registrar"); }))
     New->Registrar = *At;
-  New->Ended = [Answer, NotOwner, In](const Outcome<TransientEnd> &Ended) {
+  New->OnEnded = [Answer, NotOwner, In](const Outcome<TransientEnd> &Ended) {
     if (Ended)
       return Answer(wire::write(answerOfEnd(*Ended)));
     Answer(NotOwner(In, Ended.error().Code != ErrorCode::Refused));
   };
-  New->Elsewhere = [Answer](const PoolName &Pool) {
+  New->OnRedirected = [Answer](const PoolName &Pool) {
     Json::Value Result(Json::objectValue);
     Result["registered"] = Pool.value();
     Answer(std::move(Result));
@@ -87,8 +87,8 @@
   takeIn(New, *In);
 }
 
-bool EntryJobs::isFresh(const Endpoint &Origin) {
-  return Origin == Self_ || Needs_.Clock.now() - Contacts_[Origin] < FreshEcho;
+bool EntryJobs::wasHeardRecently(const Endpoint &Origin) {
+  return Origin == Self_ || Deps_.Clock.now() - Contacts_[Origin] < FreshEcho;
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/poolchoice.cpp
+++ b/src/jobs/internal/poolchoice.cpp
@@ -1,7 +1,7 @@
-//===- poolchoice.cpp - Which pool a job goes to --------------------------===//
+//===- poolchoice.cpp - Choice of a pool for a job ------------------------===//
 //
-// By the owners' words about their room. A pool of this data centre goes before
-// others, which are asked only where it would make the job wait.
+// Chooses by the free capacity that owners report. Pools of this data centre
+// are preferred; others are chosen only if the job would have to wait here.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,25 +15,26 @@
 namespace {
 
 constexpr const char *Module = "jobs";
-/// After so many refusals a job's caller is refused. Each costs a round trip of
-/// some milliseconds; an owner knows its room, while entries hear of it a few
-/// times a second.
-constexpr std::size_t MostRefusals = 2;
-/// The way to another data centre and back, with the question whether the
-/// owner there is reached. Also what makes a pool of this one worth keeping.
-constexpr Duration OtherDataCentre = std::chrono::milliseconds(15);
-/// A pool that is not the job's home asks the job's registrar: the median of
-/// the way with a question against that without.
-constexpr Duration QuestionToRegistrar = std::chrono::milliseconds(6);
-/// What a pool in full use costs against an empty one: an even use keeps room
-/// for wide jobs everywhere.
-constexpr double FullUseMicros = 10'000;
-/// Pools of each kind that are weighed: two chosen at random spread the load
-/// nearly as well as all, and not all entries rush to the same one.
-constexpr std::size_t Weighed = 2;
-
-/// A number that differs from job to job.
-std::size_t mixOf(const JobId &Id) { return std::hash<JobId>()(Id); }
+/// A refusal after this many earlier ones is passed on to the caller. Each
+/// costs a round trip of some milliseconds. Refusals occur since an owner knows
+/// its current free capacity, while entries hear of it a few times a second.
+constexpr std::size_t MaxRefusals = 2;
+/// The round trip to another data centre, including the ping that shows whether
+/// the owner there can be reached. It also makes local pools preferred.
+constexpr Duration OtherDataCentreCost = std::chrono::milliseconds(15);
+/// A pool that is not the job's home has to ask the job's registrar: the
+/// difference of the median delays with and without that query.
+constexpr Duration RegistrarQueryCost = std::chrono::milliseconds(6);
+/// The extra cost of a fully used pool over an empty one: even use leaves free
+/// capacity for jobs with many tasks in every pool.
+constexpr double FullUseCostMicros = 10'000;
+/// How many pools of each group (local and other) are compared: two random
+/// choices spread the load nearly as well as comparing all, and keep entries
+/// from all choosing the same pool.
+constexpr std::size_t PoolsPerGroup = 2;
+
+/// A pseudo-random number for the choice of pools, fixed for each job.
+std::size_t hashOf(const JobId &Id) { return std::hash<JobId>()(Id); }
 
 const StepSpec &firstStep(const Job &Wanted) {
   return Wanted.Spec.Steps.front();
@@ -41,42 +42,42 @@
 
 } // namespace
 
-Duration EntryJobs::lossAwayFromData(const Job &Wanted,
-                                     const PoolMember &In) const {
+Duration EntryJobs::costAwayFromData(const Job &Wanted,
+                                     const PoolMember &Pool) const {
   const StepSpec &Step = firstStep(Wanted);
   if (Step.PreferredRack.empty())
     return Duration(0);
   bool Holds =
-      poolOfRack(Groups_, In.dataCentre(), Step.PreferredRack) == In.name();
+      poolOfRack(Groups_, Pool.dataCentre(), Step.PreferredRack) == Pool.name();
   return Holds ? Duration(0) : Step.Estimate;
 }
 
 std::vector<PoolMember *>
-EntryJobs::poolsToWeigh(const Job &Wanted, const std::set<PoolName> &Without,
-                        PoolMember *Home) const {
+EntryJobs::poolsToCompare(const Job &Wanted, const std::set<PoolName> &Excluded,
+                          PoolMember *Home) const {
   std::vector<PoolMember *> Near;
   std::vector<PoolMember *> Far;
   std::vector<PoolMember *> Result;
-  auto MayTake = [&](const PoolMember &In) {
-    return In.expectedWait(Wanted) && Without.count(In.name()) == 0 &&
-           !isEvacuated(In);
+  auto MayTake = [&](const PoolMember &Pool) {
+    return Pool.expectedWait(Wanted) && Excluded.count(Pool.name()) == 0 &&
+           !isEvacuated(Pool);
   };
-  for (const auto &[Name, In] : Pools_) {
-    if (!MayTake(*In))
+  for (const auto &[Name, Pool] : Pools_) {
+    if (!MayTake(*Pool))
       continue;
     if (!firstStep(Wanted).PreferredRack.empty() &&
-        lossAwayFromData(Wanted, *In).count() == 0)
-      Result.push_back(In.get());
-    if (!In->isCandidate())
-      Far.push_back(In.get());
-    else if (In->isOwned())
-      Near.push_back(In.get());
+        costAwayFromData(Wanted, *Pool).count() == 0)
+      Result.push_back(Pool.get());
+    if (!Pool->isCandidate())
+      Far.push_back(Pool.get());
+    else if (Pool->isOwned())
+      Near.push_back(Pool.get());
   }
-  std::size_t Mix = mixOf(Wanted.Id);
+  std::size_t Mix = hashOf(Wanted.Id);
   if (Home && MayTake(*Home))
     Result.push_back(Home);
   for (const auto *Group : {&Near, &Far})
-    for (std::size_t I = 0; I < std::min(Weighed, Group->size()); ++I) {
+    for (std::size_t I = 0; I < std::min(PoolsPerGroup, Group->size()); ++I) {
       Result.push_back((*Group)[Mix % Group->size()]);
       Mix = Mix / Group->size() + 1;
     }
@@ -84,30 +85,30 @@
 }
 
 PoolMember *EntryJobs::choosePool(const Job &Wanted,
-                                  const std::set<PoolName> &Without) const {
+                                  const std::set<PoolName> &Excluded) const {
   if (Plan_ == PoolPlan::One)
     return findPool(poolOfAll());
   PoolMember *Best = nullptr;
-  Duration Least{0};
+  Duration LowestCost{0};
   PoolMember *Home = findPool(homeOfJob(Wanted.Id));
-  for (PoolMember *In : poolsToWeigh(Wanted, Without, Home)) {
+  for (PoolMember *Pool : poolsToCompare(Wanted, Excluded, Home)) {
     Duration Cost =
-        *In->expectedWait(Wanted) + lossAwayFromData(Wanted, *In) +
-        Duration(static_cast<Duration::rep>(FullUseMicros * In->use()));
-    if (!In->isCandidate())
-      Cost += OtherDataCentre;
-    if (Home && In != Home)
-      Cost += QuestionToRegistrar;
-    if (Best && Cost >= Least)
+        *Pool->expectedWait(Wanted) + costAwayFromData(Wanted, *Pool) +
+        Duration(static_cast<Duration::rep>(FullUseCostMicros * Pool->use()));
+    if (!Pool->isCandidate())
+      Cost += OtherDataCentreCost;
+    if (Home && Pool != Home)
+      Cost += RegistrarQueryCost;
+    if (Best && Cost >= LowestCost)
       continue;
-    Best = In;
-    Least = Cost;
+    Best = Pool;
+    LowestCost = Cost;
   }
   return Best;
 }
 
-bool EntryJobs::isEvacuated(const PoolMember &In) const {
-  return Plan_ != PoolPlan::One && Evacuated_.count(In.dataCentre()) != 0;
+bool EntryJobs::isEvacuated(const PoolMember &Pool) const {
+  return Plan_ != PoolPlan::One && Evacuated_.count(Pool.dataCentre()) != 0;
 }
 
 bool EntryJobs::areAllEvacuated() const {
@@ -117,41 +118,43 @@
          });
 }
 
-void EntryJobs::noteRefusedBy(Ask &What, const JobAnswer &Refusal) const {
-  What.Refusal = Refusal;
-  What.RefusedBy.insert(What.Pool);
+void EntryJobs::recordRefusal(PendingRequest &Request,
+                              const JobAnswer &Refusal) const {
+  Request.Refusal = Refusal;
+  Request.RefusedBy.insert(Request.Pool);
   if (!Refusal.Evacuated) {
-    ++What.Refusals;
+    ++Request.Refusals;
     return;
   }
-  What.HasRun = What.HasRun || Refusal.HasRun;
-  // The owner knew of an evacuation before this entry.
-  const PoolMember *By = findPool(What.Pool);
-  for (const auto &[Name, In] : Pools_)
-    if (By && In->dataCentre() == By->dataCentre())
-      What.RefusedBy.insert(Name);
+  Request.HasRun = Request.HasRun || Refusal.HasRun;
+  // The owner learned of the evacuation before this entry did.
+  const PoolMember *Refuser = findPool(Request.Pool);
+  for (const auto &[Name, Pool] : Pools_)
+    if (Refuser && Pool->dataCentre() == Refuser->dataCentre())
+      Request.RefusedBy.insert(Name);
 }
 
-bool EntryJobs::tryElsewhere(const AskPtr &What, const JobAnswer &Refusal) {
+bool EntryJobs::tryAnotherPool(const PendingRequestPtr &Request,
+                               const JobAnswer &Refusal) {
   if (Refusal.Outcome != JobOutcome::NotTaken)
     return false;
-  bool Enough = !Refusal.Evacuated && What->Refusals >= MostRefusals;
-  noteRefusedBy(*What, Refusal);
-  if (What->MaybeTaken || Plan_ == PoolPlan::One || Enough)
+  bool Enough = !Refusal.Evacuated && Request->Refusals >= MaxRefusals;
+  recordRefusal(*Request, Refusal);
+  if (Request->MaybeTaken || Plan_ == PoolPlan::One || Enough)
     return false;
-  PoolMember *Next = choosePool(What->Wanted, What->RefusedBy);
+  PoolMember *Next = choosePool(Request->Wanted, Request->RefusedBy);
   if (!Next)
     return false;
   logEvent(LogLevel::Info, Module, "job_tried_elsewhere",
-           {{"job", What->Wanted.Id},
-            {"refused_by", What->Pool},
+           {{"job", Request->Wanted.Id},
+            {"refused_by", Request->Pool},
             {"pool", Next->name()},
             {"reason", Refusal.Reason},
-            {"age_us", (Needs_.Clock.now() - What->Since).count()}});
-  What->Pool = Next->name();
-  What->PoolChosen = Needs_.Clock.now();
-  What->Registered = false;
-  dispatch(What);
+            {"age_us", (Deps_.Clock.now() - Request->ReceivedAt).count()}});
+  Request->Pool = Next->name();
+  Request->PoolChosen = Deps_.Clock.now();
+  Request->Registered = false;
+  dispatch(Request);
   return true;
 }
 
--- a/src/jobs/internal/poolowner.cpp
+++ b/src/jobs/internal/poolowner.cpp
@@ -43,18 +43,18 @@
   PausedUntil_ = Now;
   // Workers may have come meanwhile.
   KnowsAllWorkers_ = false;
-  std::vector<AskPtr> Unsent;
-  for (const AskPtr &What : Asks_)
+  std::vector<PendingRequestPtr> Unsent;
+  for (const PendingRequestPtr &What : PendingRequests_)
     if (!What->SentTo)
       Unsent.push_back(What);
   logEvent(LogLevel::Warning, Module, "stood_still",
            {{"pause_us", Gap.count()}, {"given_up", Unsent.size()}});
-  for (const AskPtr &What : Unsent)
+  for (const PendingRequestPtr &What : Unsent)
     giveUpAfterPause(What);
 }
 
 void EntryJobs::tick() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   notePause(Now);
   for (auto &[Name, In] : Pools_)
     if (!ControlSchedules_ && In->claimIfDue())
@@ -65,7 +65,7 @@
   collectReports();
   askRegistrarsAgain();
   redispatchParked();
-  Needs_.Timers.after(TickInterval, [this] { tick(); });
+  Deps_.Timers.after(TickInterval, [this] { tick(); });
 }
 
 void EntryJobs::followOwners() {
@@ -75,7 +75,7 @@
 }
 
 std::optional<Duration> EntryJobs::youngAge() const {
-  Duration Age = Needs_.Clock.now() - StartedAt_;
+  Duration Age = Deps_.Clock.now() - StartedAt_;
   return Age < YoungFor ? std::optional(Age) : std::nullopt;
 }
 
@@ -95,7 +95,7 @@
 }
 
 void EntryJobs::shareOwnership() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (Plan_ == PoolPlan::One || Stopping_ || Now - SharedAt_ < SharePause)
     return;
   std::set<Endpoint> Owners;
@@ -152,7 +152,7 @@
 }
 
 std::map<Endpoint, std::set<PoolName>> EntryJobs::pingsDue(bool Follow) const {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   std::map<Endpoint, std::set<PoolName>> Due;
   for (const auto &[Name, In] : Pools_) {
     if (!In->isCandidate())
@@ -168,7 +168,7 @@
       Due[To].insert(Name);
   }
   // An owner elsewhere must hear that it is heard while it has jobs from here.
-  for (const AskPtr &What : Asks_)
+  for (const PendingRequestPtr &What : PendingRequests_)
     if (What->SentTo && What->SentTo->At != Self_)
       Due[What->SentTo->At].insert(What->Pool);
   return Due;
@@ -180,7 +180,7 @@
   bool Follow = PingRounds_++ % (FollowInterval / PingInterval) == 0;
   for (const auto &[To, About] : pingsDue(Follow))
     ping(To, About);
-  Needs_.Timers.after(PingInterval, [this] { pingAll(); });
+  Deps_.Timers.after(PingInterval, [this] { pingAll(); });
 }
 
 void EntryJobs::tellCandidates(const PoolMember &Of) {
@@ -203,16 +203,17 @@
   Params["from"] = Self_.text();
   Params["incarnation"] = Json::UInt64(Incarnation_);
   Params["echo_us"] = Json::UInt64(Echoes_[To].Stamp);
-  Params["sent_us"] = Json::UInt64(stampOf(Needs_.Clock.now()));
+  Params["sent_us"] = Json::UInt64(stampOf(Deps_.Clock.now()));
   Params["stopping"] = Stopping_;
   if (youngAge())
     Params["young"] = true;
   if (TellsSuspects)
     Params["suspects"] = suspectsToTell(false, false);
-  Needs_.Client.call(
+  Deps_.Client.call(
       To, wire::method::Ping, std::move(Params), PingTimeout,
-      [this, To, Sent = Needs_.Clock.now()](
-          const Outcome<Json::Value> &Result) { pinged(To, Sent, Result); });
+      [this, To, Sent = Deps_.Clock.now()](const Outcome<Json::Value> &Result) {
+        pinged(To, Sent, Result);
+      });
 }
 
 void EntryJobs::pinged(const Endpoint &To, Time Sent,
@@ -221,16 +222,16 @@
   if (!Result) {
     // A refusal within the time of a round trip is the VM's own: no process
     // listens there. A late one is a connection that never came about.
-    bool AtOnce = Needs_.Clock.now() - Sent < PingTimeout;
+    bool AtOnce = Deps_.Clock.now() - Sent < PingTimeout;
     if (Result.error().Code == ErrorCode::Refused && AtOnce)
-      noteRefused(Peers_, To, Needs_.Clock.now());
+      noteRefused(Peers_, To, Deps_.Clock.now());
     return;
   }
   noteAnswer(Peers_, To, wire::isSet(*Result, "stopping"), Sent);
   std::optional<Duration> Age;
   if ((*Result)["age_us"].isUInt64())
     Age = Duration(static_cast<Duration::rep>((*Result)["age_us"].asUInt64()));
-  noteAge(Peers_, To, Age, Needs_.Clock.now());
+  noteAge(Peers_, To, Age, Deps_.Clock.now());
   if ((*Result)["stamp_us"].isUInt64())
     Echoes_[To] = {(*Result)["stamp_us"].asUInt64(), Sent};
   takePools(*Result, To);
@@ -245,7 +246,7 @@
 
 const Json::Value &EntryJobs::suspectsToTell(bool AskerIsYoung, bool Fresh) {
   WrittenSuspects &Told = SuspectsTold_[AskerIsYoung];
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (!Fresh && Told.At && Now - *Told.At < PingInterval)
     return Told.Written;
   SuspectsByJob Known;
@@ -260,12 +261,12 @@
 
 void EntryJobs::tellSuspects(const PoolMember &Of) {
   suspectsToTell(false, true);
-  for (const Endpoint &Next : frontRanks(Of.view(), Needs_.Clock.now()))
+  for (const Endpoint &Next : frontRanks(Of.view(), Deps_.Clock.now()))
     ping(Next, {Of.name()}, true);
 }
 
 void EntryJobs::takeSuspects(const Json::Value &From) {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   SuspectsByJob Told = wire::readSuspectsByJob(From, Now);
   if (Told.empty())
     return;
@@ -296,7 +297,7 @@
   Time Heard{
       Duration(static_cast<Duration::rep>(Params["echo_us"].asUInt64()))};
   Time &Contact = Contacts_[From];
-  Contact = std::max(Contact, std::min(Heard, Needs_.Clock.now()));
+  Contact = std::max(Contact, std::min(Heard, Deps_.Clock.now()));
 }
 
 bool EntryJobs::isNewest(const Endpoint &From, const Json::Value &Params) {
@@ -317,7 +318,8 @@
   Known = Told;
   LatestPings_.erase(From);
   std::erase_if(Incoming_, [&](const IncomingPtr &Each) {
-    return Each->How.From.Origin == From && Each->How.From.Incarnation != Told;
+    return Each->ArrivalInfo.From.Origin == From &&
+           Each->ArrivalInfo.From.Incarnation != Told;
   });
   for (auto &[Name, In] : Pools_)
     if (In->scheduler())
@@ -327,7 +329,7 @@
 bool EntryJobs::hasFreshEcho(const Endpoint &Owner) const {
   auto Found = Echoes_.find(Owner);
   return Found != Echoes_.end() &&
-         Needs_.Clock.now() - Found->second.Taken < FreshEcho;
+         Deps_.Clock.now() - Found->second.Taken < FreshEcho;
 }
 
 PoolMember *EntryJobs::findPool(const PoolName &Name) const {
@@ -347,7 +349,7 @@
   noteIncarnation(*From, Params);
   if (isNewest(*From, Params)) {
     noteHeard(Peers_, *From, wire::isSet(Params, "stopping"),
-              Needs_.Clock.now());
+              Deps_.Clock.now());
     takePools(Params, *From);
     takeSuspects(Params["suspects"]);
     noteEcho(*From, Params);
@@ -357,7 +359,7 @@
     for (const std::string &Name : Params["pools"].getMemberNames())
       if (const PoolMember *In = findPool(PoolName(Name)))
         Result["pools"][Name] = In->writeClaim();
-  Result["stamp_us"] = Json::UInt64(stampOf(Needs_.Clock.now()));
+  Result["stamp_us"] = Json::UInt64(stampOf(Deps_.Clock.now()));
   Result["stopping"] = Stopping_;
   if (auto Age = youngAge())
     Result["age_us"] = Json::UInt64(Age->count());
--- a/src/jobs/internal/registrar.cpp
+++ b/src/jobs/internal/registrar.cpp
@@ -41,7 +41,7 @@
     return &Found->second;
   // Under another token somebody else may have agreed to claims.
   Registers_.erase(Home);
-  return &Registers_.try_emplace(Home, Token, Needs_.Clock.now()).first->second;
+  return &Registers_.try_emplace(Home, Token, Deps_.Clock.now()).first->second;
 }
 
 void EntryJobs::collectReports() {
@@ -63,7 +63,7 @@
   std::vector<PoolName> Far;
   for (const auto &[Name, In] : Pools_)
     (In->dataCentre() == DataCentre_ ? Near : Far).push_back(Name);
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (!Of.completeWith(Near, Far, Now))
     return;
   std::string Missing;
@@ -87,14 +87,14 @@
       return;
     Heeded = Of.token();
     Of.takeReport({About.name(), About.scheduler()->token(), LastQuestion_},
-                  jobsAtHome(Home, *About.scheduler()), Needs_.Clock.now());
+                  jobsAtHome(Home, *About.scheduler()), Deps_.Clock.now());
     return;
   }
   const OwnerClaim &Owner = About.view().Owner;
   std::pair<PoolName, PoolName> Question{Home, About.name()};
   if (Owner.Token == FencingToken(0) || Owner.At == Self_)
     return;
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   ReportQuestion &Asked = ReportsAsked_[Question];
   if (Asked.Of != Of.token())
     Asked = {Of.token(), Time(), FirstReportPause};
@@ -105,11 +105,11 @@
   Params["home"] = Home.value();
   Params["token"] = Json::UInt64(Of.token().value());
   Params["pool"] = About.name().value();
-  Needs_.Client.call(
+  Deps_.Client.call(
       Owner.At, wire::method::Report, std::move(Params), ReportTimeout,
       [this, Question, Token = Of.token()](const Outcome<Json::Value> &Result) {
         ReportQuestion &Asked = ReportsAsked_[Question];
-        Asked.NotBefore = Needs_.Clock.now() + Asked.Pause;
+        Asked.NotBefore = Deps_.Clock.now() + Asked.Pause;
         Asked.Pause = std::min(Asked.Pause * 2, LongestReportPause);
         takeReport(Question.first, Token, Question.second, Result);
       });
@@ -121,7 +121,7 @@
   JobRegister *Of = registerOf(Home);
   if (!Result || !Of || Of->token() != Token)
     return;
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   noteHeeded(Home, FencingToken(wire::numberOf(*Result, "heeded")));
   if (!(*Result)["jobs"].isArray())
     return Of->noteNotYet(Now);
@@ -195,7 +195,7 @@
   JobRegister *Of = completeRegisterOf(Home);
   if (!Of)
     return std::nullopt;
-  ClaimAnswer Agreed = Of->claim(Id, By, Needs_.Clock.now());
+  ClaimAnswer Agreed = Of->claim(Id, By, Deps_.Clock.now());
   logEvent(LogLevel::Info, Module, "job_claimed",
            {{"job", Id},
             {"home", Home},
--- a/src/jobs/internal/registration.cpp
+++ b/src/jobs/internal/registration.cpp
@@ -57,7 +57,7 @@
 void EntryJobs::takeIn(const IncomingPtr &New, PoolMember &In) {
   New->Pool = In.name();
   New->Token = In.scheduler()->token();
-  New->Since = Needs_.Clock.now();
+  New->Since = Deps_.Clock.now();
   New->Number = ++LastIncoming_;
   if (New->Home.value().empty() || In.scheduler()->hasAnswerFor(New->Wanted.Id))
     return runIncoming(New, In);
@@ -96,7 +96,7 @@
   if (*Registrar == Self_)
     return askHere(Home);
   Questions &Of = Questions_[Home];
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   // The answer brings the next question.
   bool UnderWay = Of.UnderWay && Of.At == *Registrar;
   if (UnderWay || (Of.At == *Registrar && Now < Of.NotBefore))
@@ -119,7 +119,7 @@
     return;
   Of.UnderWay = true;
   Of.At = *Registrar;
-  Needs_.Client.call(
+  Deps_.Client.call(
       *Registrar, wire::method::Register, std::move(Params), RegisterTimeout,
       [this, Home, Asked = std::move(Asked), Releases = std::move(Releases),
        Serial = ++Of.Serial](const Outcome<Json::Value> &Result) {
@@ -131,7 +131,7 @@
                                const std::vector<Json::Value> &Releases) {
   // The tick asks again.
   Questions &Of = Questions_[Home];
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (!Of.FailsSince)
     Of.FailsSince = Now;
   Of.NotBefore = Now + std::clamp((Now - *Of.FailsSince) / 2, AskAgainAfter,
@@ -192,34 +192,35 @@
              {{"job", What->Wanted.Id},
               {"wanted", What->Pool},
               {"pool", Answer.Pool}});
-    return What->Elsewhere(Answer.Pool);
+    return What->OnRedirected(Answer.Pool);
   }
   PoolMember *In = findPool(What->Pool);
   bool Owns = In && In->scheduler() && ownsPool(In->view()) &&
               In->scheduler()->token() == What->Token;
-  if (!Owns || !isFresh(What->How.From.Origin)) {
+  if (!Owns || !wasHeardRecently(What->ArrivalInfo.From.Origin)) {
     giveBack(*What);
-    return What->Ended(certainlyNotTaken("the pool has another owner, or the "
-                                         "job has waited for too long"));
+    return What->OnEnded(certainlyNotTaken("the pool has another owner, or the "
+                                           "job has waited for too long"));
   }
-  What->How.MaybeTaken = What->How.MaybeTaken || Answer.HadByOther;
+  What->ArrivalInfo.MaybeTaken =
+      What->ArrivalInfo.MaybeTaken || Answer.HadByOther;
   runIncoming(What, *In);
 }
 
 void EntryJobs::runIncoming(const IncomingPtr &What, PoolMember &In) {
-  Duration Waited = Needs_.Clock.now() - What->Since;
-  What->How.Age += Waited;
-  What->How.Patience -= Waited;
-  In.scheduler()->run(What->Wanted, What->How,
+  Duration Waited = Deps_.Clock.now() - What->Since;
+  What->ArrivalInfo.Age += Waited;
+  What->ArrivalInfo.Patience -= Waited;
+  In.scheduler()->run(What->Wanted, What->ArrivalInfo,
                       [this, What](const Outcome<TransientEnd> &Ended) {
-                        if (wasRefused(Ended) && !What->How.MaybeTaken)
+                        if (wasRefused(Ended) && !What->ArrivalInfo.MaybeTaken)
                           giveBack(*What);
-                        What->Ended(Ended);
+                        What->OnEnded(Ended);
                       });
 }
 
 void EntryJobs::askRegistrarsAgain() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   std::set<PoolName> Due;
   std::vector<IncomingPtr> Waiting(Incoming_.begin(), Incoming_.end());
   for (const IncomingPtr &What : Waiting) {
@@ -228,15 +229,16 @@
     const PoolMember *In = findPool(What->Pool);
     if (!In || !In->scheduler() || In->scheduler()->token() != What->Token) {
       Incoming_.erase(What);
-      What->Ended(certainlyNotTaken("the pool has another owner"));
-    } else if (Now - What->Since + What->How.Age >= BeforeCallersReturn) {
+      What->OnEnded(certainlyNotTaken("the pool has another owner"));
+    } else if (Now - What->Since + What->ArrivalInfo.Age >=
+               BeforeCallersReturn) {
       Incoming_.erase(What);
       logEvent(LogLevel::Warning, Module, "registrar_not_found",
                {{"job", What->Wanted.Id},
                 {"home", What->Home},
                 {"waited_us", (Now - What->Since).count()}});
-      What->Ended(refusalOf("its registrar was not found in time",
-                            RetryAfterNoRegistrar));
+      What->OnEnded(refusalOf("its registrar was not found in time",
+                              RetryAfterNoRegistrar));
     } else {
       Due.insert(What->Home);
     }
@@ -250,7 +252,7 @@
 
 bool EntryJobs::dropIncoming(const JobId &Id, const WaiterId &From) {
   return std::erase_if(Incoming_, [&](const IncomingPtr &Each) {
-           return Each->Wanted.Id == Id && Each->How.From == From;
+           return Each->Wanted.Id == Id && Each->ArrivalInfo.From == From;
          }) != 0;
 }
 
--- a/src/jobs/jobssetup.cpp
+++ b/src/jobs/jobssetup.cpp
@@ -42,15 +42,15 @@
                      Duration LongestLease) {
   LeaseSettings Lease;
   Lease.Longest = LongestLease;
-  EntryNeeds Needs{Services.get<IWorkerCalls>(service_name::WorkerCalls),
-                   Services.get<IClock>(framework_name::Clock),
-                   Services.get<ITimers>(framework_name::Timers),
-                   Services.get<Metrics>(framework_name::Metrics),
-                   Services.get<IRpcServer>(framework_name::RpcServer),
-                   Services.get<IRpcClient>(framework_name::RpcClient)};
-  auto Gateway = std::make_shared<EntryJobs>(
-      Needs, EntryPlace{Self, DataCentre}, std::move(ControlVms),
-      std::move(Reader), Lease);
+  EntryDependencies Deps{Services.get<IWorkerCalls>(service_name::WorkerCalls),
+                         Services.get<IClock>(framework_name::Clock),
+                         Services.get<ITimers>(framework_name::Timers),
+                         Services.get<Metrics>(framework_name::Metrics),
+                         Services.get<IRpcServer>(framework_name::RpcServer),
+                         Services.get<IRpcClient>(framework_name::RpcClient)};
+  auto Gateway = std::make_shared<EntryJobs>(Deps, EntryPlace{Self, DataCentre},
+                                             std::move(ControlVms),
+                                             std::move(Reader), Lease);
   Services.add<IJobGateway>(service_name::JobGateway, Gateway);
   Gateway->start();
 }
--- a/src/jobs/tests/entryfake.cpp
+++ b/src/jobs/tests/entryfake.cpp
@@ -1,4 +1,4 @@
-//===- entryfake.cpp - Entries and a control VM on a fake net -------------===//
+//===- entryfake.cpp - Entries and a control VM on a fake network ---------===//
 
 #include "jobs/tests/entryfake.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration Way = 1ms;
+constexpr Duration OneWayDelay = 1ms;
 
 /// Entries of data centre "a" are 10.0.1.x.
 const char *dataCentreOf(const Endpoint &Entry) {
@@ -90,11 +90,11 @@
       if (Answered)
         Answered(Method, Result);
       if (!Faults_.isCut(From.Address, To.Address))
-        Timers_.after(Way + writingTime(To, Result),
+        Timers_.after(OneWayDelay + writingTime(To, Result),
                       [Reply, Result] { Reply(Result); });
     });
   };
-  Timers_.after(Way, [this, From, To, Reply, Arrive] {
+  Timers_.after(OneWayDelay, [this, From, To, Reply, Arrive] {
     if (Faults_.isCut(From.Address, To.Address)) {
       if (CutsRefuse)
         Reply(Error{ErrorCode::Refused, "refused by something between"});
@@ -107,9 +107,9 @@
 EntryFake::EntryFake(int EntriesEach, int WorkersEach, std::uint64_t Seed,
                      int RacksEach) {
   Workers.Rng = Random(Seed);
-  HostsElsewhere_.insert(Control_.Address);
+  OtherHosts_.insert(Control_.Address);
   for (int DataCentre = 1; DataCentre <= 2; ++DataCentre) {
-    auto &Hosts = DataCentre == 1 ? HostsOfA_ : HostsElsewhere_;
+    auto &Hosts = DataCentre == 1 ? HostsInA_ : OtherHosts_;
     std::string Part = std::to_string(DataCentre) + ".";
     for (int I = 1; I <= WorkersEach; ++I) {
       std::string Host = "10.1." + Part + std::to_string(I);
@@ -126,12 +126,12 @@
       Hosts.insert(Entries.back().At.Address);
     }
   }
-  offerControl();
+  startControl();
   for (std::size_t I = 0; I < Entries.size(); ++I)
     start(I);
 }
 
-void EntryFake::offerControl() {
+void EntryFake::startControl() {
   ControlRpc_ = std::make_unique<FakePeerRpc>(Net, Control_);
   ControlRpc_->method(wire::method::Sync, [this](
                                               const Json::Value &Params,
@@ -150,13 +150,14 @@
     const Json::Value &Owned = Params["owned"];
     if (Owned.isObject())
       for (const std::string &Name : Owned.getMemberNames())
-        OwnersTold_[Name] = Owned[Name];
-    Result["owners"] = OwnersTold_;
+        ReportedOwners_[Name] = Owned[Name];
+    Result["owners"] = ReportedOwners_;
     Result["configuration"] = 1;
     Result["document"] = "document";
-    Asked_[Params["entry"].asString()] = Params["data_centre"].asString();
+    KnownEntries_[Params["entry"].asString()] =
+        Params["data_centre"].asString();
     std::vector<EntryPlace> Named;
-    for (const auto &[At, Where] : Asked_)
+    for (const auto &[At, Where] : KnownEntries_)
       Named.push_back({*attempt([&, Text = At] { return parseEndpoint(Text); }),
                        DataCentreId(Where)});
     Result["entries"] = write(Named);
@@ -184,10 +185,10 @@
   New.Rpc = std::make_unique<FakePeerRpc>(Net, New.At);
   New.Workers = std::make_unique<FakeWorkerCalls>(Workers, New.At.Address);
   New.Timers = std::make_unique<FakeHostTimers>(Timers, Turns, New.At.Address);
-  EntryNeeds Needs{*New.Workers, Clock,    *New.Timers,
-                   Measured,     *New.Rpc, *New.Rpc};
+  EntryDependencies Deps{*New.Workers, Clock,    *New.Timers,
+                         Measured,     *New.Rpc, *New.Rpc};
   New.Jobs = std::make_unique<EntryJobs>(
-      Needs, EntryPlace{New.At, DataCentreId(dataCentreOf(New.At))},
+      Deps, EntryPlace{New.At, DataCentreId(dataCentreOf(New.At))},
       std::vector<Endpoint>{Control_}, readOneQueue, LeaseSettings());
   New.Jobs->start();
 }
@@ -196,7 +197,7 @@
   for (Time End = Clock.now() + For; Clock.now() < End;) {
     Clock.advance(1ms);
     while (Timers.runDue() != 0) {
-      // What a callback makes due at once runs in this millisecond too.
+      // Timers that a callback makes due run in the same millisecond.
     }
   }
 }
@@ -242,19 +243,19 @@
 }
 
 void EntryFake::crash(std::size_t Entry) {
-  FakeEntry &Gone = Entries[Entry];
-  Net.Servers.erase(Gone.At);
-  Gone.Rpc->Dead = true;
-  Gone.Workers->Dead = true;
-  Endpoint At = Gone.At;
-  Ended_.push_back(std::move(Gone));
+  FakeEntry &Crashed = Entries[Entry];
+  Net.Servers.erase(Crashed.At);
+  Crashed.Rpc->Dead = true;
+  Crashed.Workers->Dead = true;
+  Endpoint At = Crashed.At;
+  Ended_.push_back(std::move(Crashed));
   Entries[Entry] = FakeEntry();
   Entries[Entry].At = At;
 }
 
 void EntryFake::losePower(Random &Rng) {
-  Asked_.clear();
-  OwnersTold_ = Json::Value(Json::objectValue);
+  KnownEntries_.clear();
+  ReportedOwners_ = Json::Value(Json::objectValue);
   for (std::size_t I = 0; I < Entries.size(); ++I)
     if (Entries[I].Jobs)
       crash(I);
@@ -267,8 +268,8 @@
 
 void EntryFake::cutDataCentre(bool Refuses) {
   Net.CutsRefuse = Refuses;
-  for (const std::string &Here : HostsOfA_)
-    for (const std::string &There : HostsElsewhere_)
+  for (const std::string &Here : HostsInA_)
+    for (const std::string &There : OtherHosts_)
       Faults.Cut.insert({Here, There});
 }
 
--- a/src/jobs/tests/entryfake.h
+++ b/src/jobs/tests/entryfake.h
@@ -1,7 +1,8 @@
-//===- entryfake.h - Entries and a control VM on a fake net -----*- C++ -*-===//
+//===- entryfake.h - Entries and a control VM on a fake network -*- C++ -*-===//
 //
-// Whole entries on a paused clock, with a control VM that tells them of each
-// other and of the workers, and a net that can be cut, silently or with resets.
+// Complete entries on a manual clock, with a control VM that sends them the
+// lists of entries and workers, and a network that can be partitioned, with
+// messages dropped silently or connections refused.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,15 +16,15 @@
 
 namespace geraniumbay::jobs {
 
-/// Hosts whose processes get no turn: what is due there, or comes there, waits.
+/// Pauses the processes of hosts: their timers and incoming messages wait.
 class FakeTurns {
 public:
   FakeTurns(const IClock &Clock, ITimers &Timers)
       : Clock_(Clock), Timers_(Timers) {}
 
-  /// \p Host gets its next turn \p For from now at the earliest.
+  /// Pauses \p Host for at least \p For from now.
   void delay(const std::string &Host, Duration For);
-  /// Runs \p Due in the next turn of \p Host: now, if it gets one.
+  /// Runs \p Due once \p Host isn't paused, at once if possible.
   void run(const std::string &Host, std::function<void()> Due);
 
 private:
@@ -50,7 +51,7 @@
   const std::string Host_;
 };
 
-/// Calls between processes, a millisecond each way.
+/// RPCs between processes, with a delay of a millisecond each way.
 class FakePeerNet {
 public:
   FakePeerNet(const IClock &Clock, ITimers &Timers, FakeTurns &Turns,
@@ -62,19 +63,19 @@
             IRpcClient::Callback Done);
 
   std::map<Endpoint, std::map<std::string, IRpcServer::Method>> Servers;
-  /// How fast the processes of a host write their answers, one after the other;
-  /// at once if it is not named.
+  /// The rate at which a host's processes write their answers, one after the
+  /// other. A host without an entry writes them instantly.
   std::map<std::string, double> BytesPerMilli;
   /// Calls so far, by method.
   std::map<std::string, std::uint64_t> Sent;
-  /// Is told of each answer, by method.
+  /// Called with each answer and its method.
   std::function<void(const std::string &, const Outcome<Json::Value> &)>
       Answered;
-  /// A cut refuses connections in the name of the other side.
+  /// Connections across a cut are refused rather than timing out.
   bool CutsRefuse = false;
 
 private:
-  /// How long the answer waits for those before it and is written itself.
+  /// The time until the answer is written, including those queued before it.
   Duration writingTime(const Endpoint &By, const Outcome<Json::Value> &Answer);
 
   const IClock &Clock_;
@@ -99,7 +100,7 @@
     Net_.call(Self_, To, Method, Params, Timeout, std::move(Done));
   }
 
-  /// The process has ended: what is left of it sends nothing.
+  /// The process has ended: its remaining callbacks send nothing.
   bool Dead = false;
 
 private:
@@ -107,7 +108,7 @@
   Endpoint Self_;
 };
 
-/// Reads any document as one queue at /q/.
+/// Parses any document as a single queue at /q/.
 RetVal<Routing> readOneQueue(const std::string &Document);
 
 /// One entry.
@@ -119,13 +120,13 @@
   std::unique_ptr<EntryJobs> Jobs;
 };
 
-/// What became of a submitted job.
+/// The result of a submitted job.
 struct Submitted {
   std::optional<JobAnswer> Answer;
   std::function<void()> Abandon;
 };
 
-/// The job was run and its caller told that it is completed.
+/// Whether the caller was told that the job has completed.
 bool served(const std::shared_ptr<Submitted> &Job);
 
 /// Two data centres "a" and "b" with entries 10.0.1.x and 10.0.2.x and workers
@@ -135,36 +136,37 @@
   EntryFake(int EntriesEach, int WorkersEach, std::uint64_t Seed = 1,
             int RacksEach = 2);
 
-  /// Control has divided the workers by racks.
+  /// The control VM has divided the workers into pools by rack.
   bool ByRack = false;
-  /// Control does not know all workers yet.
+  /// The control VM does not know all workers yet.
   bool ListIsPartial = false;
-  /// Of which leader's term the list of workers is that control tells.
+  /// The leader's term of the list of workers that the control VM sends.
   std::uint64_t ListTerm = 1;
 
   void run(Duration For);
-  /// Runs until one entry owns the pool and all others follow it.
+  /// Runs until one entry owns the pool and all others know it.
   void settle();
-  /// Runs until each rack's pool has an owner that all hear of.
+  /// Runs until each rack's pool has an owner that all entries know.
   void settleByRack();
   std::shared_ptr<Submitted> submit(std::size_t Entry, const std::string &Job,
                                     std::uint32_t Tasks = 2,
                                     bool Stored = false,
                                     const std::string &PreferredRack = "");
-  /// Ends the process; start() brings it back without what it knew.
+  /// Ends the process; start() restarts it without its state.
   void crash(std::size_t Entry);
   void start(std::size_t Entry);
-  /// All entries end, and control forgets them; they start one by one, each
-  /// some time after the one before.
+  /// Simulates a power loss: all entries end and the control VM loses its
+  /// state; then the entries start one by one, at random intervals.
   void losePower(Random &Rng);
-  /// Cuts data centre "a" from "b" and from the control VM, or joins them.
+  /// Cuts data centre "a" off from "b" and the control VM; join() reconnects
+  /// it.
   void cutDataCentre(bool Refuses);
   void join();
   /// The entries that own a pool.
   std::vector<std::size_t> owners() const;
   const Endpoint &controlAddress() const { return Control_; }
   const std::vector<WorkerInfo> &announced() const { return Announced_; }
-  /// What workers announce from now on, by their place in the list.
+  /// What the workers announce from now on, by their index in the list.
   std::vector<WorkerInfo> &announcements() { return Announced_; }
 
   ManualClock Clock;
@@ -178,20 +180,20 @@
   bool ControlAway = false;
 
 private:
-  void offerControl();
+  void startControl();
   /// Each rack is a pool of its own.
   Json::Value rackGroups() const;
 
-  /// Ended processes, whose timers still refer to them.
+  /// Ended processes, kept alive since timers still refer to them.
   std::vector<FakeEntry> Ended_;
   Endpoint Control_{"10.0.9.1", 7000};
   std::unique_ptr<FakePeerRpc> ControlRpc_;
   std::vector<WorkerInfo> Announced_;
-  Json::Value OwnersTold_{Json::objectValue};
-  /// The entries that have asked control, with their data centres.
-  std::map<std::string, std::string> Asked_;
-  std::set<std::string> HostsOfA_;
-  std::set<std::string> HostsElsewhere_;
+  Json::Value ReportedOwners_{Json::objectValue};
+  /// Entries that have called the control VM, with their data centres.
+  std::map<std::string, std::string> KnownEntries_;
+  std::set<std::string> HostsInA_;
+  std::set<std::string> OtherHosts_;
 };
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/tests/jobgatewaytest.cpp
+++ b/src/jobs/tests/jobgatewaytest.cpp
@@ -1,4 +1,4 @@
-//===- jobgatewaytest.cpp - Asking the leader about jobs ------------------===//
+//===- jobgatewaytest.cpp - Client of the leading control VM --------------===//
 
 #include "jobs/internal/jobgateway.h"
 
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-/// Answers submissions one after the other as told, and nothing else.
+/// Answers submissions with scripted results in turn, and no other method.
 class ScriptedLeaders : public IRpcClient {
 public:
   void call(const Endpoint & /*To*/, const std::string &Method,
@@ -31,8 +31,8 @@
   std::deque<Outcome<Json::Value>> Answers;
 };
 
-/// Submits a job to leaders that answer like \p Answers, and returns what the
-/// caller is told.
+/// Submits a job to leaders that give \p Answers in turn, and returns the
+/// caller's answer.
 JobAnswer submitTo(std::deque<Outcome<Json::Value>> Answers) {
   ManualClock Clock;
   TimerQueue Timers(Clock);
@@ -41,20 +41,20 @@
   JobGateway Gateway(
       {{"10.0.9.1", 7000}}, Leaders, Clock, Timers,
       {[] { return Json::Value(Json::objectValue); },
-       [](const Json::Value &, const Endpoint &) { /* Nothing to take. */ },
+       [](const Json::Value &, const Endpoint &) { /* Replies are ignored. */ },
        [] { return false; }});
-  JobAnswer Told;
+  JobAnswer Received;
   JobSpec Spec;
   Spec.Transient = true;
   JobRequest Request;
   Request.Timeout = 2s;
   Gateway.submit(Request, Spec,
-                 [&](const JobAnswer &Answer) { Told = Answer; });
+                 [&](const JobAnswer &Answer) { Received = Answer; });
   for (int I = 0; I < 100; ++I) {
     Clock.advance(10ms);
     Timers.runDue();
   }
-  return Told;
+  return Received;
 }
 
 Json::Value refusal() {
@@ -75,9 +75,9 @@
   EXPECT_EQ(submitTo({refusal()}).Outcome, JobOutcome::NotTaken);
 }
 
-// A leader had started tasks of a job when it was killed. The next one, which
-// knows nothing of them, gave the job up, and the caller was told that it had
-// not run.
+// Guards against a job reported as not run although it had been started: a
+// leader started tasks of the job and was killed, and the next leader, which
+// doesn't know of them, refused the job.
 TEST(JobGatewayTest, ARefusalIsInDoubtOnceAnotherLeaderMayHaveStartedTheJob) {
   EXPECT_EQ(submitTo({Error{ErrorCode::Io, "reset"}, refusal()}).Outcome,
             JobOutcome::Unknown);
