--- a/src/jobs/tests/entryjobstest.cpp
+++ b/src/jobs/tests/entryjobstest.cpp
@@ -1,7 +1,8 @@
-//===- entryjobstest.cpp - Entries that lose each other -------------------===//
+//===- entryjobstest.cpp - Entries under failures and partitions ----------===//
 //
-// Whole entries with workers that keep leases and tokens: who owns the pool,
-// and that no task ever has two runs at a time, whatever is cut, when, and how.
+// Complete entries with workers that enforce leases and fencing tokens. Checks
+// which entry owns the pool, and that no task ever has two concurrent runs
+// under any network partition.
 //
 //===----------------------------------------------------------------------===//
 
@@ -43,9 +44,9 @@
   EXPECT_EQ(Fake.Workers.Starts, 2U);
 }
 
-// The pattern: an owner with an eighth of a core is busy for a fifth of a
-// second with wide jobs. The pings that came meanwhile are read after its
-// timers run.
+// An owner with an eighth of a core is busy for a fifth of a second with jobs
+// of many tasks. Pings that arrive during that time are only read after its
+// timers have run, so they must not be taken as missing.
 TEST(EntryJobsTest, AShortPauseOfTheOwnerCostsNoJob) {
   for (Duration Offset : {10ms, 35ms, 60ms, 85ms}) {
     EntryFake Fake(2, 3);
@@ -61,7 +62,7 @@
   }
 }
 
-TEST(EntryJobsTest, AnUnknownQueueIsNoQueue) {
+TEST(EntryJobsTest, AnUnknownPathIsAnsweredNoQueue) {
   EntryFake Fake(1, 1);
   Fake.settle();
   std::optional<JobAnswer> Answer;
@@ -74,7 +75,7 @@
   EXPECT_EQ(Answer->Outcome, JobOutcome::NoQueue);
 }
 
-TEST(EntryJobsTest, AGoneCallersJobIsStopped) {
+TEST(EntryJobsTest, AJobIsStoppedWhenItsCallerDisconnects) {
   EntryFake Fake(1, 2);
   Fake.Workers.TaskTime = 10s;
   Fake.settle();
@@ -112,7 +113,8 @@
   EXPECT_NE(Fake.owners().at(0), Owner);
 }
 
-// A new owner has not heard yet that the others hear it.
+// A new owner has no confirmation yet that the other entries hear it, and must
+// not stop their jobs for that.
 TEST(EntryJobsTest, ANewOwnerKeepsTheJobsOfAllEntries) {
   EntryFake Fake(2, 6);
   Fake.Workers.TaskTime = 600ms;
@@ -134,8 +136,9 @@
   EXPECT_EQ(Fake.Workers.Starts, 48U);
 }
 
-// A cut holds up a ping from before the sender claimed the pool. When it comes,
-// the sender has long said that it owns the pool; it has not let go.
+// A partition delays a ping that was sent before its sender claimed the pool.
+// When it arrives, later messages have already named the sender as the owner;
+// the old ping must not be read as a release of ownership.
 TEST(EntryJobsTest, APingThatWasHeldUpByACutMovesNoOwner) {
   EntryFake Fake(2, 3);
   Fake.settle();
@@ -145,17 +148,18 @@
   Held["sent_us"] = Json::UInt64(Fake.Clock.now().time_since_epoch().count());
   Held["pools"]["all"]["owner"] = Fake.Entries[0].At.text();
   Held["pools"]["all"]["token"] = 1;
-  // The first in rank dies and comes back; the second owns the pool meanwhile.
+  // The first in rank crashes and restarts; the second owns the pool in the
+  // meantime.
   Fake.crash(0);
   Fake.run(2s);
   Fake.start(0);
   Fake.run(2s);
   ASSERT_EQ(Fake.owners(), std::vector<std::size_t>{1});
-  // Between two pings, whose answers would set it right.
+  // Between two pings, since their answers would correct the owner.
   Fake.run(40ms);
   Fake.Net.Servers[Fake.Entries[0].At].at(wire::method::Ping)(
       Held, [](const Outcome<Json::Value> & /*Answer*/) {
-        // Only the owner counts here.
+        // Only the effect on the owner matters here.
       });
   Fake.run(30ms);
   EXPECT_EQ(Fake.owners(), std::vector<std::size_t>{1});
@@ -172,7 +176,7 @@
   EXPECT_TRUE(served(Job));
 }
 
-// The worker left while no leader told of it.
+// The worker left while there was no leader that could report it.
 TEST(EntryJobsTest, AWorkerThatANewLeaderDoesNotKnowIsForgotten) {
   EntryFake Fake(1, 2);
   Fake.settle();
@@ -181,8 +185,8 @@
     Fake.run(1s);
     return Job;
   }()));
-  WorkerId Gone = Fake.announcements().back().Worker;
-  std::uint64_t Before = Fake.Workers.StartsOn[Gone];
+  WorkerId Left = Fake.announcements().back().Worker;
+  std::uint64_t Before = Fake.Workers.StartsOn[Left];
   EXPECT_GT(Before, 0U);
   Fake.announcements().pop_back();
   Fake.ListIsPartial = true;
@@ -190,17 +194,18 @@
   Fake.run(1s);
   Fake.submit(0, "between", 8);
   Fake.run(1s);
-  std::uint64_t Between = Fake.Workers.StartsOn[Gone];
+  std::uint64_t Between = Fake.Workers.StartsOn[Left];
   EXPECT_GT(Between, Before);
   Fake.ListIsPartial = false;
   Fake.ListTerm = 3;
   Fake.run(1s);
   Fake.submit(0, "after", 8);
   Fake.run(1s);
-  EXPECT_EQ(Fake.Workers.StartsOn[Gone], Between);
+  EXPECT_EQ(Fake.Workers.StartsOn[Left], Between);
 }
 
-// It is always free, so that it would draw every task and fail most jobs.
+// A worker that fails tasks at once is always free, so it would be given most
+// tasks and fail most jobs.
 TEST(EntryJobsTest, AWorkerThatFailsEverythingGetsFewTasks) {
   EntryFake Fake(1, 3);
   Fake.Workers.TaskTime = 100ms;
@@ -215,7 +220,7 @@
   for (const auto &Job : Jobs)
     EXPECT_TRUE(served(Job));
   EXPECT_LE(Fake.Workers.StartsOnBroken, 12U);
-  // Mended, it works again after its pause.
+  // Once repaired, it is used again after its pause.
   Fake.Workers.Broken.clear();
   Fake.run(7s);
   std::uint64_t Before = Fake.Workers.Starts;
@@ -230,7 +235,8 @@
     EXPECT_TRUE(served(Job));
 }
 
-// An entry that knows no other yet must not take the workers from their owner.
+// An entry that knows no other entry yet must not claim the pool from its
+// owner.
 TEST(EntryJobsTest, ARestartedEntryFollowsTheOwner) {
   EntryFake Fake(2, 2);
   Fake.settle();
@@ -273,8 +279,8 @@
 
 class CutTest : public testing::TestWithParam<Cut> {};
 
-// Long tasks are out on both sides when the cut comes; each side counts on
-// leases to end, and finds what the other has started.
+// Long tasks are running on both sides when the network is cut. Each side waits
+// for the leases of the other to expire, and finds the tasks that it started.
 TEST_P(CutTest, NoTaskRunsTwiceAtATime) {
   for (std::uint64_t Seed = 1; Seed <= 4; ++Seed) {
     EntryFake Fake(2, 4, Seed);
@@ -303,7 +309,8 @@
                                          Cut{false, 25}, Cut{true, 3},
                                          Cut{true, 10}, Cut{true, 25}));
 
-/// Plays half a minute of jobs, cuts and heals, late orders and failing tasks.
+/// Runs some seconds of random jobs, partitions, delayed orders and failing
+/// tasks.
 void playAtRandom(EntryFake &Fake, std::uint64_t Seed) {
   Random Rng(Seed);
   Fake.Workers.TaskTime = std::chrono::milliseconds(50 + Rng.below(1500));
@@ -328,7 +335,7 @@
   Fake.run(4s);
 }
 
-// Seeds that once showed a fault.
+// Seeds that failed in the past.
 TEST(EntryJobsTest, SeedsThatFailed) {
   for (std::uint64_t Seed :
        {9541U, 548815U, 1865U, 9017U, 332759U, 35109U, 27827U}) {
--- a/src/jobs/tests/resendtest.cpp
+++ b/src/jobs/tests/resendtest.cpp
@@ -1,9 +1,9 @@
-//===- resendtest.cpp - Jobs that are sent again while entries are late ---===//
+//===- resendtest.cpp - Jobs that are resent while entries are paused -----===//
 //
-// The load: connections of callers are reset, and each sends its job again at
-// once, to the same entry or to another, while entries get no turn for some
-// time, die and come back. Several pools in each data centre; some have no room
-// and refuse. No task may have two runs at a time.
+// Callers' connections are reset, and each caller resends its job at once, to
+// the same entry or to another, while entries are paused, crash and restart.
+// Each data centre has several pools, some of which have no free capacity and
+// refuse. No task may have two concurrent runs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,21 +17,21 @@
 
 using namespace std::chrono_literals;
 
-/// What a play may contain.
+/// The parameters of a random scenario.
 struct PlaySettings {
   bool ByRack = true;
   int EntriesEach = 4;
   int WorkersEach = 9;
   int RacksEach = 3;
-  /// Of a hundred steps, how many delay an entry, reset callers, or end or
-  /// start an entry.
+  /// The percentage of steps that pause entries, reset callers, crash or
+  /// restart an entry, or cut or rejoin the network.
   std::uint64_t DelayPercent = 20;
   std::uint64_t ResetPercent = 40;
   std::uint64_t CrashPercent = 0;
   std::uint64_t CutPercent = 0;
 };
 
-/// Some seconds of jobs whose callers send them again.
+/// A random scenario of some seconds with jobs whose callers resend them.
 class ResendPlay {
 public:
   ResendPlay(std::uint64_t Seed, const PlaySettings &Settings)
@@ -68,7 +68,7 @@
 
   const std::set<TaskId> &doubled() const { return Fake_.Workers.Doubled; }
 
-  /// Whether every entry serves once all trouble is over.
+  /// Whether every entry serves once all faults have ended.
   bool allServe() {
     std::vector<std::shared_ptr<Submitted>> Jobs;
     for (std::size_t I = 0; I < Fake_.Entries.size(); ++I) {
@@ -80,7 +80,7 @@
   }
 
 private:
-  /// A caller whose connection is there.
+  /// A caller with an open connection.
   struct Caller {
     std::string Job;
     std::uint32_t Tasks = 1;
@@ -122,8 +122,8 @@
           Duration(10'000 + Rng_.below(390'000)));
   }
 
-  /// The entry hears of a reset in its next turn; the caller sends its job
-  /// again at once.
+  /// The entry notices a reset once it isn't paused; the caller resends its job
+  /// at once.
   void resetSome() {
     std::vector<Caller> Reset;
     std::erase_if(Callers_, [&](const Caller &Each) {
@@ -134,7 +134,7 @@
       return Answered || Hit;
     });
     for (const Caller &Each : Reset) {
-      // Some resets are never heard of.
+      // Some resets are never noticed by the entry.
       if (Rng_.below(4) != 0)
         Fake_.Turns.run(Fake_.Entries[Each.At].At.Address,
                         [Given = Each.Given] {
@@ -182,7 +182,7 @@
   bool IsCut_ = false;
 };
 
-void runsNothingTwice(const PlaySettings &Settings, std::uint64_t Seeds) {
+void expectNoTaskRunsTwice(const PlaySettings &Settings, std::uint64_t Seeds) {
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     ResendPlay Play(Seed, Settings);
     Play.play();
@@ -191,27 +191,27 @@
   }
 }
 
-// Guards against two pools that run one job: its caller's connection was reset,
-// and an entry that one pool had refused took the job to another while a later
-// sending was being served by the first.
+// Guards against two pools running the same job: its caller's connection was
+// reset, and an entry whose attempt one pool had refused sent the job to
+// another pool, while the first pool was serving a later attempt.
 TEST(ResendTest, AJobSentAgainToLateEntriesRunsAtOnePool) {
-  runsNothingTwice(PlaySettings{}, 20);
+  expectNoTaskRunsTwice(PlaySettings{}, 20);
 }
 
 // The same while owners are lost and their pools change hands.
 TEST(ResendTest, AJobSentAgainWhileOwnersChangeRunsAtOnePool) {
   PlaySettings Settings;
   Settings.CrashPercent = 15;
-  runsNothingTwice(Settings, 20);
+  expectNoTaskRunsTwice(Settings, 20);
 }
 
-// The same with one pool of all workers, whose owner is replaced while it gets
-// no turn, and goes on when it does.
-TEST(ResendTest, AJobSentAgainWhileTheOwnerStandsStillRunsOnce) {
+// The same with a single pool, whose owner is replaced while it is paused, and
+// continues afterwards.
+TEST(ResendTest, AJobSentAgainWhileTheOwnerIsPausedRunsOnce) {
   PlaySettings Settings;
   Settings.ByRack = false;
   Settings.CrashPercent = 5;
-  runsNothingTwice(Settings, 20);
+  expectNoTaskRunsTwice(Settings, 20);
 }
 
 } // namespace
