--- a/src/jobs/internal/ownercalls.cpp
+++ b/src/jobs/internal/ownercalls.cpp
@@ -56,7 +56,7 @@
   noteIncarnation(*Origin, Params);
   noteEcho(*Origin, Params);
   // The message may have been delayed while this VM was paused.
-  if (!isFresh(*Origin)) {
+  if (!wasHeardRecently(*Origin)) {
     logEvent(LogLevel::Warning, Module, "job_stale",
              {{"job", Wanted->Id},
               {"origin", Origin->text()},
@@ -65,7 +65,7 @@
   }
   auto Request = std::make_shared<Incoming>();
   Request->Wanted = std::move(*Wanted);
-  Request->How = {
+  Request->ArrivalInfo = {
       waiterOf(Params, *Origin),
       Duration(static_cast<Duration::rep>(wire::numberOf(Params, "age_us"))),
       Duration(static_cast<Duration::rep>(*Left)),
@@ -75,13 +75,13 @@
   if (auto At =
           attempt([&] { return wire::readEndpoint(Params, "registrar"); }))
     Request->Registrar = *At;
-  Request->Ended = [Answer, NotOwner,
-                    Member](const Outcome<TransientEnd> &Ended) {
+  Request->OnEnded = [Answer, NotOwner,
+                      Member](const Outcome<TransientEnd> &Ended) {
     if (Ended)
       return Answer(wire::write(answerOfEnd(*Ended)));
     Answer(NotOwner(Member, Ended.error().Code != ErrorCode::Refused));
   };
-  Request->Elsewhere = [Answer](const PoolName &Pool) {
+  Request->OnRedirected = [Answer](const PoolName &Pool) {
     Json::Value Result(Json::objectValue);
     Result["registered"] = Pool.value();
     Answer(std::move(Result));
@@ -89,9 +89,9 @@
   admitJob(Request, *Member);
 }
 
-bool EntryJobs::isFresh(const Endpoint &Origin) {
+bool EntryJobs::wasHeardRecently(const Endpoint &Origin) {
   return Origin == Self_ ||
-         Needs_.Clock.now() - ConfirmedUntil_[Origin] < MaxEchoAge;
+         Deps_.Clock.now() - ConfirmedUntil_[Origin] < MaxEchoAge;
 }
 
 } // namespace geraniumbay::jobs
--- a/src/jobs/internal/poolowner.cpp
+++ b/src/jobs/internal/poolowner.cpp
@@ -43,18 +43,18 @@
   PausedUntil_ = Now;
   // Workers may have been added meanwhile.
   KnowsAllWorkers_ = false;
-  std::vector<AskPtr> Unsent;
-  for (const AskPtr &Request : Asks_)
+  std::vector<PendingRequestPtr> Unsent;
+  for (const PendingRequestPtr &Request : PendingRequests_)
     if (!Request->SentTo)
       Unsent.push_back(Request);
   logEvent(LogLevel::Warning, Module, "stood_still",
            {{"pause_us", Gap.count()}, {"given_up", Unsent.size()}});
-  for (const AskPtr &Request : Unsent)
+  for (const PendingRequestPtr &Request : Unsent)
     giveUpAfterPause(Request);
 }
 
 void EntryJobs::tick() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   detectPause(Now);
   for (auto &[Name, Member] : Pools_)
     if (!ControlSchedules_ && Member->claimIfDue())
@@ -65,7 +65,7 @@
   collectReports();
   retryRegistrars();
   redispatchParked();
-  Needs_.Timers.after(TickInterval, [this] { tick(); });
+  Deps_.Timers.after(TickInterval, [this] { tick(); });
 }
 
 void EntryJobs::followOwners() {
@@ -75,7 +75,7 @@
 }
 
 std::optional<Duration> EntryJobs::ageIfRecentlyStarted() const {
-  Duration Age = Needs_.Clock.now() - StartedAt_;
+  Duration Age = Deps_.Clock.now() - StartedAt_;
   return Age < RecentlyStartedPeriod ? std::optional(Age) : std::nullopt;
 }
 
@@ -95,7 +95,7 @@
 }
 
 void EntryJobs::shareOwnership() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (Plan_ == PoolPlan::One || Stopping_ ||
       Now - LastSharedAt_ < MinShareInterval)
     return;
@@ -154,7 +154,7 @@
 }
 
 std::map<Endpoint, std::set<PoolName>> EntryJobs::pingsDue(bool Follow) const {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   std::map<Endpoint, std::set<PoolName>> Due;
   for (const auto &[Name, Member] : Pools_) {
     if (!Member->isCandidate())
@@ -171,7 +171,7 @@
   }
   // The owner of another entry needs confirmation that this one hears it while
   // it has jobs from here.
-  for (const AskPtr &Request : Asks_)
+  for (const PendingRequestPtr &Request : PendingRequests_)
     if (Request->SentTo && Request->SentTo->At != Self_)
       Due[Request->SentTo->At].insert(Request->Pool);
   return Due;
@@ -183,7 +183,7 @@
   bool Follow = PingRounds_++ % (FollowInterval / PingInterval) == 0;
   for (const auto &[To, PoolNames] : pingsDue(Follow))
     ping(To, PoolNames);
-  Needs_.Timers.after(PingInterval, [this] { pingAll(); });
+  Deps_.Timers.after(PingInterval, [this] { pingAll(); });
 }
 
 void EntryJobs::notifyCandidates(const PoolMember &Pool) {
@@ -207,17 +207,17 @@
   Params["from"] = Self_.text();
   Params["incarnation"] = Json::UInt64(Incarnation_);
   Params["echo_us"] = Json::UInt64(Echoes_[To].Stamp);
-  Params["sent_us"] = Json::UInt64(stampOf(Needs_.Clock.now()));
+  Params["sent_us"] = Json::UInt64(stampOf(Deps_.Clock.now()));
   Params["stopping"] = Stopping_;
   if (ageIfRecentlyStarted())
     Params["young"] = true;
   if (IncludeSuspects)
     Params["suspects"] = suspectsToSend(false, false);
-  Needs_.Client.call(To, wire::method::Ping, std::move(Params), PingTimeout,
-                     [this, To, Sent = Needs_.Clock.now()](
-                         const Outcome<Json::Value> &Result) {
-                       handlePingReply(To, Sent, Result);
-                     });
+  Deps_.Client.call(
+      To, wire::method::Ping, std::move(Params), PingTimeout,
+      [this, To, Sent = Deps_.Clock.now()](const Outcome<Json::Value> &Result) {
+        handlePingReply(To, Sent, Result);
+      });
 }
 
 void EntryJobs::handlePingReply(const Endpoint &To, Time Sent,
@@ -226,16 +226,16 @@
   if (!Result) {
     // A refusal within a round trip comes from the VM itself: no process
     // listens there. A late one is a connection that was never established.
-    bool AtOnce = Needs_.Clock.now() - Sent < PingTimeout;
+    bool AtOnce = Deps_.Clock.now() - Sent < PingTimeout;
     if (Result.error().Code == ErrorCode::Refused && AtOnce)
-      noteRefused(Peers_, To, Needs_.Clock.now());
+      noteRefused(Peers_, To, Deps_.Clock.now());
     return;
   }
   noteAnswer(Peers_, To, wire::isSet(*Result, "stopping"), Sent);
   std::optional<Duration> Age;
   if ((*Result)["age_us"].isUInt64())
     Age = Duration(static_cast<Duration::rep>((*Result)["age_us"].asUInt64()));
-  noteAge(Peers_, To, Age, Needs_.Clock.now());
+  noteAge(Peers_, To, Age, Deps_.Clock.now());
   if ((*Result)["stamp_us"].isUInt64())
     Echoes_[To] = {(*Result)["stamp_us"].asUInt64(), Sent};
   applyPoolStatements(*Result, To);
@@ -251,7 +251,7 @@
 const Json::Value &EntryJobs::suspectsToSend(bool PeerRecentlyStarted,
                                              bool Fresh) {
   EncodedSuspects &Cached = EncodedSuspects_[PeerRecentlyStarted];
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (!Fresh && Cached.EncodedAt && Now - *Cached.EncodedAt < PingInterval)
     return Cached.Encoded;
   SuspectsByJob Known;
@@ -266,12 +266,12 @@
 
 void EntryJobs::sendSuspects(const PoolMember &Pool) {
   suspectsToSend(false, true);
-  for (const Endpoint &Next : frontRanks(Pool.view(), Needs_.Clock.now()))
+  for (const Endpoint &Next : frontRanks(Pool.view(), Deps_.Clock.now()))
     ping(Next, {Pool.name()}, true);
 }
 
 void EntryJobs::applySuspects(const Json::Value &From) {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   SuspectsByJob Received = wire::readSuspectsByJob(From, Now);
   if (Received.empty())
     return;
@@ -304,7 +304,7 @@
   Time Heard{
       Duration(static_cast<Duration::rep>(Params["echo_us"].asUInt64()))};
   Time &Contact = ConfirmedUntil_[From];
-  Contact = std::max(Contact, std::min(Heard, Needs_.Clock.now()));
+  Contact = std::max(Contact, std::min(Heard, Deps_.Clock.now()));
 }
 
 bool EntryJobs::isLatestPing(const Endpoint &From, const Json::Value &Params) {
@@ -325,8 +325,8 @@
   Known = Reported;
   LatestPings_.erase(From);
   std::erase_if(Incoming_, [&](const IncomingPtr &Each) {
-    return Each->How.From.Origin == From &&
-           Each->How.From.Incarnation != Reported;
+    return Each->ArrivalInfo.From.Origin == From &&
+           Each->ArrivalInfo.From.Incarnation != Reported;
   });
   for (auto &[Name, Member] : Pools_)
     if (Member->scheduler())
@@ -336,7 +336,7 @@
 bool EntryJobs::hasFreshEcho(const Endpoint &Owner) const {
   auto Found = Echoes_.find(Owner);
   return Found != Echoes_.end() &&
-         Needs_.Clock.now() - Found->second.RequestSentAt < MaxEchoAge;
+         Deps_.Clock.now() - Found->second.RequestSentAt < MaxEchoAge;
 }
 
 PoolMember *EntryJobs::findPool(const PoolName &Name) const {
@@ -356,7 +356,7 @@
   noteIncarnation(*From, Params);
   if (isLatestPing(*From, Params)) {
     noteHeard(Peers_, *From, wire::isSet(Params, "stopping"),
-              Needs_.Clock.now());
+              Deps_.Clock.now());
     applyPoolStatements(Params, *From);
     applySuspects(Params["suspects"]);
     noteEcho(*From, Params);
@@ -366,7 +366,7 @@
     for (const std::string &Name : Params["pools"].getMemberNames())
       if (const PoolMember *Member = findPool(PoolName(Name)))
         Result["pools"][Name] = Member->writeClaim();
-  Result["stamp_us"] = Json::UInt64(stampOf(Needs_.Clock.now()));
+  Result["stamp_us"] = Json::UInt64(stampOf(Deps_.Clock.now()));
   Result["stopping"] = Stopping_;
   if (auto Age = ageIfRecentlyStarted())
     Result["age_us"] = Json::UInt64(Age->count());
--- a/src/jobs/internal/registrar.cpp
+++ b/src/jobs/internal/registrar.cpp
@@ -42,7 +42,7 @@
     return &Found->second;
   // With another token in between, another registrar may have agreed to claims.
   Registers_.erase(Home);
-  return &Registers_.try_emplace(Home, Token, Needs_.Clock.now()).first->second;
+  return &Registers_.try_emplace(Home, Token, Deps_.Clock.now()).first->second;
 }
 
 void EntryJobs::collectReports() {
@@ -64,7 +64,7 @@
   std::vector<PoolName> Far;
   for (const auto &[Name, Member] : Pools_)
     (Member->dataCentre() == DataCentre_ ? Near : Far).push_back(Name);
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (!Register.updateCompleteness(Near, Far, Now))
     return;
   std::string Missing;
@@ -89,14 +89,14 @@
     AcceptedToken = Register.token();
     Register.applyReport(
         {Member.name(), Member.scheduler()->token(), LastQuestion_},
-        jobsAtHome(Home, *Member.scheduler()), Needs_.Clock.now());
+        jobsAtHome(Home, *Member.scheduler()), Deps_.Clock.now());
     return;
   }
   const OwnerClaim &Owner = Member.view().Owner;
   std::pair<PoolName, PoolName> Question{Home, Member.name()};
   if (Owner.Token == FencingToken(0) || Owner.At == Self_)
     return;
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   ReportRequest &Request = ReportRequests_[Question];
   if (Request.RegistrarToken != Register.token())
     Request = {Register.token(), Time(), MinReportPause};
@@ -107,12 +107,12 @@
   Params["home"] = Home.value();
   Params["token"] = Json::UInt64(Register.token().value());
   Params["pool"] = Member.name().value();
-  Needs_.Client.call(
+  Deps_.Client.call(
       Owner.At, wire::method::Report, std::move(Params), ReportTimeout,
       [this, Question,
        Token = Register.token()](const Outcome<Json::Value> &Result) {
         ReportRequest &Request = ReportRequests_[Question];
-        Request.RetryAt = Needs_.Clock.now() + Request.Pause;
+        Request.RetryAt = Deps_.Clock.now() + Request.Pause;
         Request.Pause = std::min(Request.Pause * 2, MaxReportPause);
         handleReportReply(Question.first, Token, Question.second, Result);
       });
@@ -124,7 +124,7 @@
   JobRegister *Register = registerOf(Home);
   if (!Result || !Register || Register->token() != Token)
     return;
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   noteAcceptedToken(Home, FencingToken(wire::numberOf(*Result, "heeded")));
   if (!(*Result)["jobs"].isArray())
     return Register->noteNotReady(Now);
@@ -201,7 +201,7 @@
   JobRegister *Register = completeRegisterOf(Home);
   if (!Register)
     return std::nullopt;
-  ClaimAnswer Agreed = Register->claim(Id, Claim, Needs_.Clock.now());
+  ClaimAnswer Agreed = Register->claim(Id, Claim, Deps_.Clock.now());
   logEvent(LogLevel::Info, Module, "job_claimed",
            {{"job", Id},
             {"home", Home},
--- a/src/jobs/internal/registration.cpp
+++ b/src/jobs/internal/registration.cpp
@@ -61,7 +61,7 @@
 void EntryJobs::admitJob(const IncomingPtr &Request, PoolMember &Member) {
   Request->Pool = Member.name();
   Request->Token = Member.scheduler()->token();
-  Request->Since = Needs_.Clock.now();
+  Request->Since = Deps_.Clock.now();
   Request->Number = ++LastIncoming_;
   if (Request->Home.value().empty() ||
       Member.scheduler()->hasAnswerFor(Request->Wanted.Id))
@@ -101,7 +101,7 @@
   if (*Registrar == Self_)
     return claimLocally(Home);
   RegistrarRequests &State = RegistrarRequests_[Home];
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   // The next request is sent when the answer arrives.
   bool UnderWay = State.UnderWay && State.At == *Registrar;
   if (UnderWay || (State.At == *Registrar && Now < State.RetryAt))
@@ -124,7 +124,7 @@
     return;
   State.UnderWay = true;
   State.At = *Registrar;
-  Needs_.Client.call(
+  Deps_.Client.call(
       *Registrar, wire::method::Register, std::move(Params), RegistrarTimeout,
       [this, Home, Asked = std::move(Asked), Releases = std::move(Releases),
        Serial = ++State.Serial](const Outcome<Json::Value> &Result) {
@@ -136,7 +136,7 @@
     const PoolName &Home, const std::vector<Json::Value> &Releases) {
   // tick() repeats the request.
   RegistrarRequests &State = RegistrarRequests_[Home];
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   if (!State.FailingSince)
     State.FailingSince = Now;
   State.RetryAt = Now + std::clamp((Now - *State.FailingSince) / 2,
@@ -198,34 +198,36 @@
              {{"job", Request->Wanted.Id},
               {"wanted", Request->Pool},
               {"pool", Answer.Pool}});
-    return Request->Elsewhere(Answer.Pool);
+    return Request->OnRedirected(Answer.Pool);
   }
   PoolMember *Member = findPool(Request->Pool);
   bool Owns = Member && Member->scheduler() && ownsPool(Member->view()) &&
               Member->scheduler()->token() == Request->Token;
-  if (!Owns || !isFresh(Request->How.From.Origin)) {
+  if (!Owns || !wasHeardRecently(Request->ArrivalInfo.From.Origin)) {
     releaseClaim(*Request);
-    return Request->Ended(refusedError("the pool has another owner, or the "
-                                       "job has waited for too long"));
+    return Request->OnEnded(refusedError("the pool has another owner, or the "
+                                         "job has waited for too long"));
   }
-  Request->How.MaybeTaken = Request->How.MaybeTaken || Answer.HadOtherOwner;
+  Request->ArrivalInfo.MaybeTaken =
+      Request->ArrivalInfo.MaybeTaken || Answer.HadOtherOwner;
   runIncoming(Request, *Member);
 }
 
 void EntryJobs::runIncoming(const IncomingPtr &Request, PoolMember &Member) {
-  Duration Waited = Needs_.Clock.now() - Request->Since;
-  Request->How.Age += Waited;
-  Request->How.TimeLeft -= Waited;
-  Member.scheduler()->run(Request->Wanted, Request->How,
+  Duration Waited = Deps_.Clock.now() - Request->Since;
+  Request->ArrivalInfo.Age += Waited;
+  Request->ArrivalInfo.TimeLeft -= Waited;
+  Member.scheduler()->run(Request->Wanted, Request->ArrivalInfo,
                           [this, Request](const Outcome<TransientEnd> &Ended) {
-                            if (wasRefused(Ended) && !Request->How.MaybeTaken)
+                            if (wasRefused(Ended) &&
+                                !Request->ArrivalInfo.MaybeTaken)
                               releaseClaim(*Request);
-                            Request->Ended(Ended);
+                            Request->OnEnded(Ended);
                           });
 }
 
 void EntryJobs::retryRegistrars() {
-  Time Now = Needs_.Clock.now();
+  Time Now = Deps_.Clock.now();
   std::set<PoolName> Due;
   std::vector<IncomingPtr> Waiting(Incoming_.begin(), Incoming_.end());
   for (const IncomingPtr &Request : Waiting) {
@@ -235,15 +237,16 @@
     if (!Member || !Member->scheduler() ||
         Member->scheduler()->token() != Request->Token) {
       Incoming_.erase(Request);
-      Request->Ended(refusedError("the pool has another owner"));
-    } else if (Now - Request->Since + Request->How.Age >= MaxStartDelay) {
+      Request->OnEnded(refusedError("the pool has another owner"));
+    } else if (Now - Request->Since + Request->ArrivalInfo.Age >=
+               MaxStartDelay) {
       Incoming_.erase(Request);
       logEvent(LogLevel::Warning, Module, "registrar_not_found",
                {{"job", Request->Wanted.Id},
                 {"home", Request->Home},
                 {"waited_us", (Now - Request->Since).count()}});
-      Request->Ended(refusalOf("its registrar was not found in time",
-                               RetryAfterNoRegistrar));
+      Request->OnEnded(refusalOf("its registrar was not found in time",
+                                 RetryAfterNoRegistrar));
     } else {
       Due.insert(Request->Home);
     }
@@ -257,7 +260,7 @@
 
 bool EntryJobs::dropIncoming(const JobId &Id, const WaiterId &From) {
   return std::erase_if(Incoming_, [&](const IncomingPtr &Each) {
-           return Each->Wanted.Id == Id && Each->How.From == From;
+           return Each->Wanted.Id == Id && Each->ArrivalInfo.From == From;
          }) != 0;
 }
 
--- a/src/jobs/jobssetup.cpp
+++ b/src/jobs/jobssetup.cpp
@@ -42,12 +42,12 @@
                      Duration LongestLease) {
   LeaseSettings Lease;
   Lease.LongestLease = LongestLease;
-  EntryNeeds Deps{Services.get<IWorkerCalls>(service_name::WorkerCalls),
-                  Services.get<IClock>(framework_name::Clock),
-                  Services.get<ITimers>(framework_name::Timers),
-                  Services.get<Metrics>(framework_name::Metrics),
-                  Services.get<IRpcServer>(framework_name::RpcServer),
-                  Services.get<IRpcClient>(framework_name::RpcClient)};
+  EntryDependencies Deps{Services.get<IWorkerCalls>(service_name::WorkerCalls),
+                         Services.get<IClock>(framework_name::Clock),
+                         Services.get<ITimers>(framework_name::Timers),
+                         Services.get<Metrics>(framework_name::Metrics),
+                         Services.get<IRpcServer>(framework_name::RpcServer),
+                         Services.get<IRpcClient>(framework_name::RpcClient)};
   auto Gateway = std::make_shared<EntryJobs>(Deps, EntryPlace{Self, DataCentre},
                                              std::move(ControlVms),
                                              std::move(Reader), Lease);
