--- a/src/jobs/internal/jobcontrol.cpp
+++ b/src/jobs/internal/jobcontrol.cpp
@@ -158,7 +158,7 @@
 
 void JobService::handleLeave(const WorkerId &Worker, bool Forwarded,
                              const Acknowledge &Done) {
-  leave(Directory_, Worker);
+  recordLeave(Directory_, Worker);
   if (serves()) {
     if (Scheduler_)
       Scheduler_->applyWorkers(Directory_);
