--- a/src/jobs/internal/entryjobs.cpp
+++ b/src/jobs/internal/entryjobs.cpp
@@ -145,7 +145,7 @@
 bool EntryJobs::hasJustPaused() const {
   Time Now = Deps_.Clock.now();
   // The tick may not have detected the pause yet.
-  bool Unnoticed = TickedAt_ && Now - *TickedAt_ >= LongPause;
+  bool Unnoticed = LastTickAt_ && Now - *LastTickAt_ >= LongPause;
   return Unnoticed || (PausedUntil_ && Now - *PausedUntil_ < SocketDrainTime);
 }
 
@@ -214,7 +214,7 @@
   if (Stays && !Request->Pool.value().empty())
     return Chosen;
   if (Chosen && !isReachable(*Chosen))
-    Chosen->distrustLoad();
+    Chosen->discardLoad();
   Chosen = choosePool(Request->Wanted, Request->RefusedBy);
   Request->PoolChosen = Now;
   if (Chosen)
@@ -296,7 +296,7 @@
     if (Attempt == Request->Attempt)
       redirect(Request, Target);
   };
-  takeIn(New, Pool);
+  admitJob(New, Pool);
 }
 
 void EntryJobs::redirect(const PendingRequestPtr &Request,
