--- a/src/jobs/internal/workersession.h
+++ b/src/jobs/internal/workersession.h
@@ -132,7 +132,7 @@
   /// Time that a worker takes to kill tasks whose lease has expired.
   Duration KillTime = std::chrono::milliseconds(50);
   /// An unreachable earlier owner has noticed that it is cut off, and renews no
-  /// lease, after this time (see OwnerSilence in poolview.h).
+  /// lease, after this time (see OriginTimeout in poolview.h).
   Duration EarlierOwnerSilence{0};
   /// How long runs left by an earlier owner are kept, so that entries can
   /// submit their jobs again.
