--- a/src/jobs/internal/suspects.h
+++ b/src/jobs/internal/suspects.h
@@ -24,7 +24,7 @@
 /// Merges findings about many jobs; each keeps the time of its latest finding.
 void merge(SuspectsByJob &Into, const SuspectsByJob &Other);
 
-/// Removes findings older than KeepSuspects.
+/// Removes findings older than SuspectRetention.
 void forgetOld(SuspectsByJob &Suspects, Time Now);
 
 namespace wire {
